--- a/src/spread/link/life-fence.ts
+++ b/src/spread/link/life-fence.ts
@@ -1,49 +1,50 @@
 import type { LinkIdentity } from './link-identity.js';
 
-/** Between which processes a frame travels, and on which connection. */
+/** The sender and the receiver of a frame, and the connection that carries it. */
 export type FrameEnvelope = {
   readonly sender: LinkIdentity;
-  /** The life of the process that the sender spoke to when it sent the frame. */
+  /** The instance ID from the receiver's greeting on this connection: the process that the frame was sent to. */
   readonly receiverLife: string;
-  /** The receiver's count of accepted connections when it accepted the one that carries the frame. */
+  /** The sequence number that the receiver gave to the connection on accepting it. */
   readonly connection: number;
 };
 
-/** Why a frame is not taken. */
+/** Why a frame is dropped: its sender or receiver has been replaced by a restart, or it is from another fleet. */
 export type DropCause = 'other-life' | 'other-fleet';
 
-/** Drops frames that are meant for, or come from, another process than the ones that now have the two addresses. */
+/** Fences off frames from or to an earlier process instance at the same address, and frames of other fleets. */
 export type LifeFence = {
-  /** The cause to drop a frame; none for a frame to take. */
+  /** The cause to drop a frame; undefined if the frame is accepted. */
   readonly check: (envelope: FrameEnvelope) => DropCause | undefined;
 };
 
-type KnownLife = { readonly life: string; readonly connection: number };
+type KnownInstance = { readonly life: string; readonly connection: number };
 
-/** Far more than a fleet has nodes; the addresses heard longest ago are forgotten first. */
-const mostKnownLives = 16_384;
+/** Far more than a fleet has nodes; the least recently seen addresses are evicted first. */
+const maxKnownInstances = 16_384;
 
 /**
- * A sender sends nothing on a connection before it has read the greeting that the receiver writes on accepting it. So
- * whoever sent a frame was alive after its connection was accepted, and of two lives of one address the later one is
- * that of the connection accepted later, whatever the order in which their bytes are read.
+ * Orders the instances of an address by the sequence numbers of their connections. A sender writes nothing on a
+ * connection before it has read the receiver's greeting, so it was running after the connection was accepted. Of two
+ * instances at one address the later one is therefore the one whose connection was accepted later, whatever the order
+ * in which their bytes are read.
  */
 export const openLifeFence = ({ life: ownLife, fleet }: Pick<LinkIdentity, 'life' | 'fleet'>): LifeFence => {
-  const knownLives = new Map<string, KnownLife>();
-
-  const remember = (address: string, known: KnownLife): void => {
-    knownLives.delete(address);
-    knownLives.set(address, known);
-    if (knownLives.size <= mostKnownLives) return;
-    const [oldestAddress] = knownLives.keys();
-    if (oldestAddress !== undefined) knownLives.delete(oldestAddress);
+  const knownInstances = new Map<string, KnownInstance>();
+
+  const remember = (address: string, known: KnownInstance): void => {
+    knownInstances.delete(address);
+    knownInstances.set(address, known);
+    if (knownInstances.size <= maxKnownInstances) return;
+    const [oldestAddress] = knownInstances.keys();
+    if (oldestAddress !== undefined) knownInstances.delete(oldestAddress);
   };
 
   return {
     check: ({ sender, receiverLife, connection }) => {
       if (sender.fleet !== fleet) return 'other-fleet';
       if (receiverLife !== ownLife) return 'other-life';
-      const known = knownLives.get(sender.address);
+      const known = knownInstances.get(sender.address);
       if (known !== undefined && known.life !== sender.life && known.connection > connection) return 'other-life';
       const newestConnection = Math.max(connection, known?.connection ?? connection);
       remember(sender.address, { life: sender.life, connection: newestConnection });
--- a/src/spread/link/partner-links.ts
+++ b/src/spread/link/partner-links.ts
@@ -2,7 +2,7 @@
 import type { Frame } from '../frame/frame.js';
 import type { LinkEvents } from './link-events.js';
 
-/** The links to all partners: one way each, a frame at a time. */
+/** Links to all peers. Delivery is best-effort: a frame to an unreachable peer is lost without an error. */
 export type PartnerLinks = {
   readonly events: EventEmitter<LinkEvents>;
   readonly listen: () => Promise<void>;
--- a/src/spread/link/patience.ts
+++ b/src/spread/link/patience.ts
@@ -1,25 +1,28 @@
 import type { Micros } from '../../common/micros.js';
 
-/** How long a sender has waited for a sign of its receiver. */
+/** How long the receiver of a connection has left frames unacknowledged. */
 export type Patience = {
-  readonly sentUs: Micros;
-  /** When the first frame was sent that no sign has come for. */
-  readonly owedUs: Micros | undefined;
+  readonly lastSentUs: Micros;
+  /** When the first unacknowledged frame was sent; undefined while all frames are acknowledged. */
+  readonly unackedSinceUs: Micros | undefined;
 };
 
-/** How often a receiver gives a sign while frames come. */
+/** While frames arrive, a receiver writes an acknowledgement byte once per interval. */
 export const signSpanUs: Micros = 400_000;
-/** A link without a sign for so long, while frames are sent, leads nowhere: its receiver lost power or is cut off. */
-const overdueUs: Micros = 1_500_000;
-/** After such a pause between frames the receiver owes no sign for the former ones. */
-const restUs: Micros = 800_000;
+/** A receiver that acknowledges nothing for this long has lost power or is cut off, even if the socket stays open. */
+const ackTimeoutUs: Micros = 1_500_000;
+/** After such a pause between frames, the receiver need not acknowledge the earlier ones. */
+const pauseUs: Micros = 800_000;
 
-export const freshPatience: Patience = { sentUs: Number.NEGATIVE_INFINITY, owedUs: undefined };
+/** The timer while all frames are acknowledged. */
+export const freshPatience: Patience = { lastSentUs: Number.NEGATIVE_INFINITY, unackedSinceUs: undefined };
 
-export const patienceAfterSend = ({ sentUs, owedUs }: Patience, nowUs: Micros): Patience => ({
-  sentUs: nowUs,
-  owedUs: owedUs === undefined || nowUs > sentUs + restUs ? nowUs : owedUs,
+/** The timer after a frame was sent: it starts with the first unacknowledged frame. */
+export const patienceAfterSend = ({ lastSentUs, unackedSinceUs }: Patience, nowUs: Micros): Patience => ({
+  lastSentUs: nowUs,
+  unackedSinceUs: unackedSinceUs === undefined || nowUs > lastSentUs + pauseUs ? nowUs : unackedSinceUs,
 });
 
-export const isOverdue = ({ owedUs }: Patience, nowUs: Micros): boolean =>
-  owedUs !== undefined && nowUs > owedUs + overdueUs;
+/** Whether the receiver has acknowledged nothing for the time-out. */
+export const isOverdue = ({ unackedSinceUs }: Patience, nowUs: Micros): boolean =>
+  unackedSinceUs !== undefined && nowUs > unackedSinceUs + ackTimeoutUs;
--- a/src/spread/machine/inquiry.ts
+++ b/src/spread/machine/inquiry.ts
@@ -13,16 +13,16 @@
 import { newsTargets } from './targets.js';
 import { askSpanUs } from './timing.js';
 
-/** What a partner says that it knows. */
+/** The versions of configuration and list that a peer holds, from its digest or inquiry. */
 export type Known = {
   readonly revision: number;
   readonly version: number;
   readonly listDigest?: string;
-  /** The configuration that it holds, if it can take a delta. */
+  /** The configuration that it holds, as the base of a delta. */
   readonly base?: RecordBase;
 };
 
-/** Gives a partner what it is known to lack. */
+/** Sends a peer the configuration and the list that it lacks. */
 export const caughtUp = (
   view: SpreadView,
   address: string,
@@ -36,10 +36,10 @@
   ];
 };
 
-/** How many are asked at once after a freeze. */
-const refreshTargets = 6;
+/** The number of peers that receive an inquiry on a refresh. */
+const refreshFanOut = 6;
 
-/** Takes what a digest tells, and asks its sender for what is newer there. */
+/** Applies a digest, and sends an inquiry to its sender if that has a newer configuration or list. */
 export const onDigest = (view: SpreadView, from: string, digest: Digest): SpreadStep =>
   andThen(
     andThen(
@@ -47,35 +47,35 @@
       (timedView) => withRead(timedView, digest.read, from),
     ),
     (timedView) => {
-      const isReceipt = timedView.refreshing && digest.inquiry === timedView.inquiry;
-      const isFresh = isReceipt && digest.revision <= revisionOf(timedView) && hasListOf(timedView, digest);
-      const { asked } = timedView;
-      const isPending = timedView.atUs < asked.atUs + askSpanUs;
-      const hadRevision = isPending ? Math.max(asked.revision, revisionOf(timedView)) : revisionOf(timedView);
-      const hadVersion = isPending ? Math.max(asked.version, versionOf(timedView)) : versionOf(timedView);
+      const isForRefresh = timedView.refreshing && digest.inquiry === timedView.inquiry;
+      const isFresh = isForRefresh && digest.revision <= revisionOf(timedView) && hasListOf(timedView, digest);
+      const { lastInquiry } = timedView;
+      const isPending = timedView.atUs < lastInquiry.atUs + askSpanUs;
+      const hadRevision = isPending ? Math.max(lastInquiry.revision, revisionOf(timedView)) : revisionOf(timedView);
+      const hadVersion = isPending ? Math.max(lastInquiry.version, versionOf(timedView)) : versionOf(timedView);
       const lacks = digest.revision > hadRevision || lacksList(timedView, digest, hadVersion, isPending);
       return stepped(
         {
           ...timedView,
           refreshing: timedView.refreshing && !isFresh,
-          asked: lacks
+          lastInquiry: lacks
             ? {
                 atUs: timedView.atUs,
                 revision: Math.max(digest.revision, hadRevision),
                 version: Math.max(digest.version, hadVersion),
               }
-            : asked,
+            : lastInquiry,
         },
         ...(isFresh ? [{ type: 'refreshed' as const }] : []),
         ...(lacks
-          ? [{ type: 'send' as const, address: from, frame: inquiryOf(timedView, hadRevision, hadVersion) }]
+          ? [{ type: 'send' as const, address: from, frame: inquiryFrameOf(timedView, hadRevision, hadVersion) }]
           : []),
       );
     },
   );
 
-/** Asks for all that is newer than what is had, or is already on its way from another partner. */
-const inquiryOf = (view: SpreadView, revision = revisionOf(view), version = versionOf(view)): SpreadFrame => ({
+/** An inquiry for anything newer than `revision` and `version`, which may already be in flight from another peer. */
+const inquiryFrameOf = (view: SpreadView, revision = revisionOf(view), version = versionOf(view)): SpreadFrame => ({
   type: 'inquire',
   inquiry: view.inquiry,
   revision,
@@ -84,11 +84,11 @@
   base: heldBaseOf(view),
 });
 
-/** Asks some partners at once for all that is newer, as after a freeze. */
+/** Sends inquiries for anything newer to some peers, as a refresh after a freeze of the process does. */
 export const withInquiries = (view: SpreadView): SpreadStep => {
-  const { targets, view: drawnView } = newsTargets(view, refreshTargets);
+  const { targets, view: drawnView } = newsTargets(view, refreshFanOut);
   return stepped(
     drawnView,
-    ...targets.map((address) => ({ type: 'send' as const, address, frame: inquiryOf(drawnView) })),
+    ...targets.map((address) => ({ type: 'send' as const, address, frame: inquiryFrameOf(drawnView) })),
   );
 };
--- a/src/spread/machine/platform-time.ts
+++ b/src/spread/machine/platform-time.ts
@@ -4,6 +4,7 @@
 import { stepped } from './spread-step.js';
 import type { SpreadView } from './spread-view.js';
 
+/** Raises the lower bound of the platform's time; a time below the bound changes nothing. */
 export const withTime = (view: SpreadView, platformUs: Micros | undefined): SpreadStep => {
   if (platformUs === undefined) return stepped(view);
   const platform = raisedBound(view.platform, platformUs, view.atUs);
--- a/src/spread/machine/reading.ts
+++ b/src/spread/machine/reading.ts
@@ -13,36 +13,40 @@
 import { hasFew } from './targets.js';
 import { pushedReadSpanUs } from './timing.js';
 
-/** Where a fleet's own time line begins: well above 0, so that a moment before it can be named. */
+/** The origin of the fleet's own time line: well above 0, so that earlier moments can be represented. */
 export const lineStartUs: Micros = 1_000_000_000_000;
 
-/** Beats of a larger fleet are too slow for the news that a reading was made; it is handed on at once. */
-const pushedRead = (view: SpreadView, from?: string): SpreadStep => {
+/** Pushes the latest reading stamp in a large fleet, whose heartbeats are too slow for it, but only once per interval. */
+const pushIfLarge = (view: SpreadView, from?: string): SpreadStep => {
   const { read } = view;
   if (read === undefined || read.atUs < view.pushedReadUs + pushedReadSpanUs || hasFew(view)) return stepped(view);
   return pushedReading({ ...view, pushedReadUs: read.atUs }, from);
 };
 
-/** Folds a reading into the list. Where nobody knows a time yet, the line of the fleet begins here. */
-export const withReading = (view: SpreadView, reading: ListReading, begunAt: Micros): SpreadStep => {
+/**
+ * Applies a reading to the polled list; ignored once a pushed list is known. If no time is known yet, the fleet's time
+ * line starts here.
+ */
+export const onReading = (view: SpreadView, reading: ListReading, begunAt: Micros): SpreadStep => {
   if (view.list !== undefined && !isAsked(view.list)) return stepped(view);
   const platform = view.platform ?? { reachedUs: lineStartUs, atUs: view.atUs };
   const nowUs = boundAt(platform, view.atUs);
   const begunUs = Math.max(0, nowUs - Math.max(0, view.atUs - begunAt));
-  const mark: ReadMark = { atUs: begunUs, by: readerKeyOf(view.self) };
+  const stamp: ReadMark = { atUs: begunUs, by: readerKeyOf(view.self) };
   const readView = reading.whole
-    ? { ...view, platform, ownRead: mark, read: laterMark(view.read, mark) }
+    ? { ...view, platform, ownRead: stamp, read: laterMark(view.read, stamp) }
     : { ...view, platform };
   const list = foldReading(view.list, reading, nowUs, begunUs);
   return andThen(
     view.platform === undefined ? stepped(readView, { type: 'time', platformUs: nowUs }) : stepped(readView),
     (timedView) =>
       andThen(withList(timedView, list), (listedView) =>
-        reading.whole ? pushedRead(listedView) : stepped(listedView),
+        reading.whole ? pushIfLarge(listedView) : stepped(listedView),
       ),
   );
 };
 
+/** Applies a peer's reading stamp, and relays it if it is due. */
 export const withRead = (view: SpreadView, read: ReadMark | undefined, from: string): SpreadStep =>
   read === undefined || view.platform === undefined || read.by === readerKeyOf(view.self)
     ? stepped(view)
@@ -51,5 +55,5 @@
           { ...view, read: laterMark(view.read, read) },
           { type: 'read', by: read.by, ageUs: Math.max(0, boundAt(view.platform, view.atUs) - read.atUs) },
         ),
-        (readView) => pushedRead(readView, from),
+        (readView) => pushIfLarge(readView, from),
       );
--- a/src/spread/machine/spread-effect.ts
+++ b/src/spread/machine/spread-effect.ts
@@ -3,18 +3,21 @@
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 import type { SpreadFrame } from './spread-event.js';
 
-/** What the spread machine wants done or makes known. */
+/** An action or a notification that a step of the gossip state machine requests. */
 export type SpreadEffect =
   | { readonly type: 'send'; readonly address: string; readonly frame: SpreadFrame }
   | { readonly type: 'setup'; readonly record: SetupRecord }
-  /** The list as decisions see it, without those that are gone. */
+  /** A new server list for routing, without servers that are gone. */
   | { readonly type: 'list'; readonly list: ServerList }
-  /** A partner told of a whole reading that began so long ago. */
+  /** Another node has a complete reading of the platform's list, which began `ageUs` ago. */
   | { readonly type: 'read'; readonly by: string; readonly ageUs: Micros }
+  /** The lower bound of the platform's time has risen. */
   | { readonly type: 'time'; readonly platformUs: Micros }
-  /** Partners came, went or changed. */
+  /** Peers have joined, left or changed their description. */
   | { readonly type: 'partners' }
-  /** How many routers are thought to live, and how many were given up and may yet live elsewhere. */
+  /** The number of live routers, and of lost ones, which may still be alive on the other side of a partition. */
   | { readonly type: 'routers'; readonly routers: number; readonly lost: number }
+  /** Whether no frame from any peer has arrived within the isolation timeout. */
   | { readonly type: 'isolated'; readonly isolated: boolean }
+  /** A refresh is complete: a peer has confirmed that it holds nothing newer. */
   | { readonly type: 'refreshed' };
--- a/src/spread/machine/spread-view.ts
+++ b/src/spread/machine/spread-view.ts
@@ -10,66 +10,77 @@
 import type { Partner } from '../partner/partner.js';
 import { drawOf } from './draw.js';
 
-/** A partner that is due to answer. */
+/** An unanswered probe of a peer. */
 export type Awaited = { readonly askedUs: Micros; readonly tries: number };
 
-/** What one process knows of setup, list, time and partners. */
+/** The state of the gossip state machine: one process's view of configuration, server list, time and membership. */
 export type SpreadView = {
   readonly self: Partner;
   readonly seeds: readonly string[];
   readonly atUs: Micros;
   readonly record: SetupRecord | undefined;
-  /** Configurations that held just before, the last one first; who has one of them is sent only the difference. */
+  /** Earlier configurations, newest first; a peer that holds one of them receives a delta. */
   readonly formerRecords: readonly SetupRecord[];
   readonly list: ServerList | AskedList | undefined;
-  /** Asked lists that held just before, the last one first; who has one of them is sent only the difference. */
+  /** Earlier polled lists, newest first; a peer that holds one of them receives only the changed entries. */
   readonly formerLists: readonly AskedList[];
-  /** The freshest whole reading known, and the own last one. */
+  /** The stamp of the latest complete reading of any node. */
   readonly read: ReadMark | undefined;
+  /** The stamp of this node's own latest complete reading. */
   readonly ownRead: ReadMark | undefined;
-  /** The platform's time as far as it is certain. */
+  /** A lower bound of the platform's time. */
   readonly platform: TimeBound | undefined;
-  /** Who is thought to live, by address. */
+  /** Live and suspect peers, by address. */
   readonly partners: PersistentMap<string, KnownPartner>;
+  /** Peers that were declared dead, by address. */
   readonly lost: PersistentMap<string, LostPartner>;
-  /** How many routers are thought to live, this one among them. */
+  /** The number of live routers, including this process if it is one. */
   readonly routers: number;
-  /** How many were given up and are still remembered. */
+  /** The number of routers among the lost peers. */
   readonly lostRouters: number;
-  /** What all partners that live are, in one figure; equal where membership is equal. */
+  /** The membership hash: the XOR of a hash per live peer and this process, of address and incarnation. */
   readonly crowd: number;
-  /** This process's own incarnation. */
+  /** This process's own incarnation number, as in SWIM. */
   readonly incarnation: number;
-  /** Changes of membership that are still to be handed on, by address: how often. */
-  readonly changed: PersistentMap<string, number>;
-  /** Who has been told who this is, and has been heard since. */
+  /** Remaining transmissions of recent membership updates, by address. */
+  readonly pendingUpdates: PersistentMap<string, number>;
+  /** Peers that have confirmed to have this node's description. */
   readonly introduced: ReadonlySet<string>;
-  /** Who is due to answer, since when, and how often it was asked. */
+  /** Unanswered probes, by address. */
   readonly awaited: PersistentMap<string, Awaited>;
-  /** Whom the coming beats go to: each partner once, in an order by chance. */
+  /** The remaining targets of the current round of heartbeats, in random order. */
   readonly round: readonly string[];
+  /** The state of the random number generator. */
   readonly draw: number;
-  /** When membership began to differ from that of partners; undefined while it does not. */
+  /** Since when the membership hash has differed from peers'; undefined while it does not. */
   readonly differsUs: Micros | undefined;
-  /** When the whole membership last came. */
+  /** When a full synchronization was last received, or last requested in a large fleet. */
   readonly wholeUs: Micros;
+  /** When staleness of contact and of the reading stamp is next checked. */
   readonly uneasyUs: Micros;
-  /** When partners were last looked through for some that are overdue. */
+  /** When suspects and lost peers were last checked for expiry. */
   readonly lookedUs: Micros;
-  /** Of which moment the last reading is that was handed on at once. */
+  /** When the reading began whose stamp was last pushed, on the fleet's time line. */
   readonly pushedReadUs: Micros;
+  /** When the next heartbeat is due. */
   readonly digestUs: Micros;
+  /** The number of heartbeats sent. */
   readonly digests: number;
+  /** When a frame last arrived from any peer. */
   readonly heardUs: Micros;
-  /** When a partner was last asked for news, and up to which revision and version. */
-  readonly asked: { readonly atUs: Micros; readonly revision: number; readonly version: number };
+  /** When an inquiry was last sent in response to a digest, and the revision and version that it is expected to bring. */
+  readonly lastInquiry: { readonly atUs: Micros; readonly revision: number; readonly version: number };
+  /** Whether no frame from any peer has arrived within the isolation timeout. */
   readonly isolated: boolean;
+  /** The number of the latest refresh, which its inquiries and their responses carry. */
   readonly inquiry: number;
+  /** Whether a refresh is in progress. */
   readonly refreshing: boolean;
-  /** When partners are asked once more for what is fresh. */
+  /** When the inquiries of a refresh are next repeated. */
   readonly askedAgainUs: Micros;
 };
 
+/** The view of a process that starts: isolated, with its seeds as the only addresses. */
 export const startSpreadView = (self: Partner, seeds: readonly string[]): SpreadView => ({
   self,
   seeds,
@@ -87,7 +98,7 @@
   lostRouters: 0,
   crowd: drawOf(`${self.address}#0`),
   incarnation: 0,
-  changed: emptyMap(),
+  pendingUpdates: emptyMap(),
   introduced: new Set(),
   awaited: emptyMap(),
   round: [],
@@ -100,7 +111,7 @@
   digestUs: 0,
   digests: 0,
   heardUs: Number.NEGATIVE_INFINITY,
-  asked: { atUs: Number.NEGATIVE_INFINITY, revision: 0, version: 0 },
+  lastInquiry: { atUs: Number.NEGATIVE_INFINITY, revision: 0, version: 0 },
   isolated: true,
   inquiry: 0,
   refreshing: false,
--- a/src/spread/machine/step.ts
+++ b/src/spread/machine/step.ts
@@ -6,7 +6,7 @@
 import { caughtUp, onDigest, withInquiries } from './inquiry.js';
 import { withList } from './list-dissemination.js';
 import { withoutOverdue } from './membership.js';
-import { withReading } from './reading.js';
+import { onReading } from './reading.js';
 import type { SpreadEffect } from './spread-effect.js';
 import type { SpreadEvent, SpreadFrame } from './spread-event.js';
 import type { SpreadStep } from './spread-step.js';
@@ -19,8 +19,8 @@
     case 'digest':
       return onDigest(view, from, frame);
     case 'inquire':
-      return andThen(stepped(view, ...caughtUp(view, from, frame)), (givenView) =>
-        digestTo(givenView, from, { inquiry: frame.inquiry }),
+      return andThen(stepped(view, ...caughtUp(view, from, frame)), (next) =>
+        digestTo(next, from, { inquiry: frame.inquiry }),
       );
     case 'setup':
       return withRecord(view, frame.record, from);
@@ -31,29 +31,30 @@
   }
 };
 
-const onHeard = (view: SpreadView, from: string): SpreadStep => {
+/** Records that a peer is reachable: its probe is answered, and this process is not isolated. */
+const onContact = (view: SpreadView, from: string): SpreadStep => {
   const known = view.partners.get(from);
-  const heardView: SpreadView = {
+  const contactView: SpreadView = {
     ...view,
     heardUs: view.atUs,
     awaited: view.awaited.delete(from),
     partners: known === undefined ? view.partners : view.partners.set(from, { ...known, heardUs: view.atUs }),
   };
   return view.isolated
-    ? stepped({ ...heardView, isolated: false }, { type: 'isolated', isolated: false })
-    : stepped(heardView);
+    ? stepped({ ...contactView, isolated: false }, { type: 'isolated', isolated: false })
+    : stepped(contactView);
 };
 
 const onTick = (view: SpreadView): SpreadStep => {
-  const becomesIsolated = !view.isolated && view.atUs > view.heardUs + isolatedSpanUs;
-  const checkedStep = becomesIsolated
+  const losesContact = !view.isolated && view.atUs > view.heardUs + isolatedSpanUs;
+  const checkedStep = losesContact
     ? stepped({ ...view, isolated: true }, { type: 'isolated' as const, isolated: true })
     : stepped(view);
-  const asksAgain = view.refreshing && view.atUs >= view.askedAgainUs;
+  const isInquiryDue = view.refreshing && view.atUs >= view.askedAgainUs;
   return [withoutOverdue, withProbes, withUnease, withBeat].reduce<SpreadStep>(
     andThen,
-    asksAgain
-      ? andThen(checkedStep, (askingView) => withInquiries({ ...askingView, askedAgainUs: view.atUs + digestSpanUs }))
+    isInquiryDue
+      ? andThen(checkedStep, (next) => withInquiries({ ...next, askedAgainUs: view.atUs + digestSpanUs }))
       : checkedStep,
   );
 };
@@ -63,7 +64,7 @@
     case 'tick':
       return onTick(nowView);
     case 'frame':
-      return andThen(onHeard(nowView, event.from), (heardView) => onFrame(heardView, event.from, event.frame));
+      return andThen(onContact(nowView, event.from), (contactView) => onFrame(contactView, event.from, event.frame));
     case 'setup':
       return withRecord(nowView, event.record);
     case 'list':
@@ -71,7 +72,7 @@
     case 'seeds':
       return stepped({ ...nowView, seeds: event.seeds });
     case 'reading':
-      return withReading(nowView, event.reading, event.begunAt);
+      return onReading(nowView, event.reading, event.begunAt);
     case 'refresh': {
       return withInquiries({
         ...nowView,
@@ -83,26 +84,30 @@
   }
 };
 
-/** Of several changes of membership in one step only the last is told. */
-const lastOfEach = (effects: readonly SpreadEffect[]): readonly SpreadEffect[] => {
+/** Drops all but the last of several membership effects in one step. */
+const withoutSuperseded = (effects: readonly SpreadEffect[]): readonly SpreadEffect[] => {
   const lastPartners = effects.findLastIndex(({ type }) => type === 'partners');
   const lastRouters = effects.findLastIndex(({ type }) => type === 'routers');
   return effects.filter(
-    ({ type }, place) =>
-      (type !== 'partners' || place === lastPartners) && (type !== 'routers' || place === lastRouters),
+    ({ type }, index) =>
+      (type !== 'partners' || index === lastPartners) && (type !== 'routers' || index === lastRouters),
   );
 };
 
-/** The spread machine: setup by revision and list by version, or by merging, go to everyone, and never backwards. */
+/**
+ * One step of the gossip state machine, which replicates the configuration and the server list to all nodes and detects
+ * dead peers as in SWIM. The configuration advances by revision; a pushed list advances by version, polled lists are
+ * merged. Neither ever goes back.
+ */
 export const stepSpread = (view: SpreadView, event: SpreadEvent): SpreadStep => {
   const spanUs = event.at - view.atUs;
   const nowView: SpreadView = {
     ...view,
     atUs: Math.max(view.atUs, event.at),
     platform: spanUs >= longestStepUs ? withoutSpan(view.platform, spanUs) : view.platform,
-    /** Who did not run can not tell who owed it a sign. */
+    /** After a gap in its own execution this process cannot judge which responses are late. */
     awaited: spanUs >= longestStepUs ? emptyMap() : view.awaited,
   };
   const step = onEvent(nowView, event);
-  return step.effects.length < 2 ? step : { view: step.view, effects: lastOfEach(step.effects) };
+  return step.effects.length < 2 ? step : { view: step.view, effects: withoutSuperseded(step.effects) };
 };
--- a/src/spread/partner/known-partner.ts
+++ b/src/spread/partner/known-partner.ts
@@ -1,12 +1,12 @@
 import type { Micros } from '../../common/micros.js';
 import type { Partner } from './partner.js';
 
-/** A partner that is thought to live. */
+/** A peer that is alive or suspect. */
 export type KnownPartner = {
   readonly partner: Partner;
   readonly incarnation: number;
-  /** When it was last heard here, or heard of. */
+  /** When a frame of the peer last arrived, or an update with a new incarnation. */
   readonly heardUs: Micros;
-  /** Since when it is under suspicion; undefined while it is not. */
+  /** Since when the peer is suspect; undefined while it is alive. */
   readonly suspectUs: Micros | undefined;
 };
--- a/src/spread/partner/lost-partner.ts
+++ b/src/spread/partner/lost-partner.ts
@@ -1,9 +1,13 @@
 import type { Micros } from '../../common/micros.js';
 import type { Partner } from './partner.js';
 
-/** A partner that was given up; kept for a while, so that old news of it changes nothing and the two sides of a cut meet again. */
+/**
+ * A peer that was declared dead. It is remembered for a while, so that outdated updates do not revive it and the two
+ * sides of a healed partition contact each other again.
+ */
 export type LostPartner = {
   readonly partner: Partner;
   readonly incarnation: number;
+  /** When the peer was declared dead. */
   readonly lostUs: Micros;
 };
--- a/src/spread/partner/partner-news.ts
+++ b/src/spread/partner/partner-news.ts
@@ -1,7 +1,7 @@
 import type { PartnerState } from './partner-state.js';
 import type { Partner } from './partner.js';
 
-/** A change of membership as it is handed on. A partner raises its incarnation to refute what is wrongly said of it. */
+/** A membership update, as in SWIM. A peer raises its incarnation to refute a wrong update about itself. */
 export type PartnerNews = {
   readonly partner: Partner;
   readonly incarnation: number;
--- a/src/spread/partner/partner-role.ts
+++ b/src/spread/partner/partner-role.ts
@@ -1,2 +1,2 @@
-/** The two kinds of process. */
+/** The kind of a process: a router, or a control node of the Raft cluster. */
 export type PartnerRole = 'router' | 'control';
--- a/src/spread/partner/partner-state.ts
+++ b/src/spread/partner/partner-state.ts
@@ -1,2 +1,2 @@
-/** What is thought of a partner: heard, not heard when it should have been, or given up. */
+/** The state of a peer, as in SWIM: alive, suspect after unanswered probes, or dead after an unrefuted suspicion. */
 export type PartnerState = 'alive' | 'suspect' | 'dead';
