--- a/tests/spread/many.test.ts
+++ b/tests/spread/many.test.ts
@@ -7,10 +7,10 @@
 import { openMany, type Many, type ManyNode } from './many.js';
 
 const second = 1_000_000;
-const grown = { seed: 1, routers: 77, controls: 3, localities: 4, regions: 1 };
-/** What a router of eighty may send while nothing happens; each frame costs its sender and its receiver a wake-up. */
-const mostFramesPerSecond = 9;
-const planned = { seed: 2, routers: 400, controls: 21, localities: 11, regions: 5 };
+const eightyNodes = { seed: 1, routers: 77, controls: 3, localities: 4, regions: 1 };
+/** The limit for a router among eighty while nothing changes; each frame wakes up its sender and its receiver. */
+const maxFramesPerSecond = 9;
+const plannedSize = { seed: 2, routers: 400, controls: 21, localities: 11, regions: 5 };
 
 const recordAt = (revision: number): SetupRecord => ({
   revision,
@@ -19,68 +19,68 @@
   epochs: [],
 });
 
-const nodeAt = (many: Many, place: number): ManyNode => {
-  const node = many.nodes[place];
-  if (node === undefined) throw new Error(`no node ${place}`);
+const nodeAt = (cluster: Many, index: number): ManyNode => {
+  const node = cluster.nodes[index];
+  if (node === undefined) throw new Error(`the cluster has no node ${index}`);
   return node;
 };
 
-const offerSetup = (many: Many, place: number, revision: number): void =>
-  many.offer(nodeAt(many, place), { type: 'setup', at: many.now(), record: recordAt(revision) });
+const offerSetup = (cluster: Many, index: number, revision: number): void =>
+  cluster.offer(nodeAt(cluster, index), { type: 'setup', at: cluster.now(), record: recordAt(revision) });
 
 const hasSetup =
   (revision: number) =>
   (node: ManyNode): boolean =>
     node.view.record?.revision === revision;
 
-const knowsLiving =
-  (many: Many) =>
+const knowsAllLive =
+  (cluster: Many) =>
   (node: ManyNode): boolean =>
-    node.view.partners.size === many.living().length - 1;
+    node.view.partners.size === cluster.liveNodes().length - 1;
 
-const read = (many: Many, place: number, leaving: string | undefined): void => {
-  const servers = Array.from({ length: 40 }, (_, index): ReadServer => ({
-    id: `s${index}`,
+const applyPoll = (cluster: Many, index: number, leaving: string | undefined): void => {
+  const servers = Array.from({ length: 40 }, (_, server): ReadServer => ({
+    id: `s${server}`,
     service: 'model',
-    address: `10.1.0.${index}:80`,
+    address: `10.1.0.${server}:80`,
     locality: 'a',
-    state: `s${index}` === leaving ? 'leaving' : 'up',
+    state: `s${server}` === leaving ? 'leaving' : 'up',
   }));
-  many.offer(nodeAt(many, place), {
+  cluster.offer(nodeAt(cluster, index), {
     type: 'reading',
-    at: many.now(),
-    begunAt: many.now() - 100_000,
+    at: cluster.now(),
+    begunAt: cluster.now() - 100_000,
     reading: { whole: true, servers },
   });
 };
 
-const isWithin = (tookUs: number | undefined, mostUs: number, what: string): void =>
-  assert.ok(tookUs !== undefined && tookUs <= mostUs, `${what} took ${tookUs} us`);
+const assertWithin = (tookUs: number | undefined, limitUs: number, what: string): void =>
+  assert.ok(tookUs !== undefined && tookUs <= limitUs, `${what} took ${tookUs} us`);
 
-test('eighty nodes that begin at once find each other, and what a node sends does not grow with them', () => {
-  const many = openMany(grown);
-  for (const node of many.nodes) many.start(node);
-  isWithin(many.until(knowsLiving(many), 10 * second), 6 * second, 'finding each other');
-  many.play(15 * second);
-  many.resetCounts();
-  many.play(10 * second);
-  for (const node of many.nodes)
+test('eighty nodes that start at once find each other, and then each sends less than 2,000 bytes per second', () => {
+  const cluster = openMany(eightyNodes);
+  for (const node of cluster.nodes) cluster.start(node);
+  assertWithin(cluster.timeUntil(knowsAllLive(cluster), 10 * second), 6 * second, 'discovery of all nodes');
+  cluster.play(15 * second);
+  cluster.resetCounts();
+  cluster.play(10 * second);
+  for (const node of cluster.nodes)
     assert.ok(node.sentBytes < 2_000 * 10, `${node.address} sent ${node.sentBytes} bytes in ten seconds`);
-  assert.is(many.falseAlarms.length, 0);
+  assert.is(cluster.falsePositives.length, 0);
 });
 
-test('eighty nodes have a setup, a leaving server and each reading within a second, a tenth of them dead', () => {
-  const many = openMany(grown);
-  many.startAcquainted();
-  many.play(second);
-  read(many, 1, undefined);
-  many.play(second);
-  for (const node of many.nodes.filter((_, place) => place % 10 === 5)) many.kill(node);
-  offerSetup(many, 0, 1);
-  isWithin(many.until(hasSetup(1), 3 * second, 10_000), second, 'a setup');
-  read(many, 1, 's3');
-  isWithin(
-    many.until(
+test('a configuration and a leaving server reach eighty nodes within a second, and readings within 1.2 s, with a tenth dead', () => {
+  const cluster = openMany(eightyNodes);
+  cluster.startConverged();
+  cluster.play(second);
+  applyPoll(cluster, 1, undefined);
+  cluster.play(second);
+  for (const node of cluster.nodes.filter((_, index) => index % 10 === 5)) cluster.kill(node);
+  offerSetup(cluster, 0, 1);
+  assertWithin(cluster.timeUntil(hasSetup(1), 3 * second, 10_000), second, 'a configuration');
+  applyPoll(cluster, 1, 's3');
+  assertWithin(
+    cluster.timeUntil(
       (node) => node.view.list?.servers.find(({ id }) => id === 's3')?.state === 'leaving',
       3 * second,
       10_000,
@@ -88,59 +88,67 @@
     second,
     'a leaving server',
   );
-  let latestUs = 0;
+  let maxAgeUs = 0;
   for (let reading = 0; reading < 16; reading += 1) {
-    read(many, 1, 's3');
-    many.play(second / 2);
-    for (const { view } of many.living())
+    applyPoll(cluster, 1, 's3');
+    cluster.play(second / 2);
+    for (const { view } of cluster.liveNodes())
       if (view.platform !== undefined && view.read !== undefined)
-        latestUs = Math.max(latestUs, view.platform.reachedUs + (many.now() - view.platform.atUs) - view.read.atUs);
+        maxAgeUs = Math.max(maxAgeUs, view.platform.reachedUs + (cluster.now() - view.platform.atUs) - view.read.atUs);
   }
-  assert.ok(latestUs < 1_200_000, `a reading was ${latestUs} us old somewhere`);
-  isWithin(many.until(knowsLiving(many), 15 * second), 10 * second, 'giving up the dead');
-  assert.is(many.falseAlarms.length, 0);
+  assert.ok(maxAgeUs < 1_200_000, `the latest reading on some node was ${maxAgeUs} us old`);
+  assertWithin(cluster.timeUntil(knowsAllLive(cluster), 15 * second), 10 * second, 'declaring the dead nodes dead');
+  assert.is(cluster.falsePositives.length, 0);
 });
 
-test('while the list is read twice a second, each of eighty routers sends only a few frames a second', () => {
-  const many = openMany({ ...grown, controls: 5 });
-  many.startAcquainted();
-  many.play(5 * second);
-  read(many, 1, undefined);
-  many.play(second);
-  many.resetCounts();
+test('while the list is polled twice a second, eighty routers send on average less than nine frames per second each', () => {
+  const cluster = openMany({ ...eightyNodes, controls: 5 });
+  cluster.startConverged();
+  cluster.play(5 * second);
+  applyPoll(cluster, 1, undefined);
+  cluster.play(second);
+  cluster.resetCounts();
   const seconds = 10;
   for (let reading = 0; reading < 2 * seconds; reading += 1) {
-    read(many, 1, undefined);
-    many.play(second / 2);
+    applyPoll(cluster, 1, undefined);
+    cluster.play(second / 2);
   }
-  const routers = many.nodes.filter(({ view }) => view.self.role === 'router');
+  const routers = cluster.nodes.filter(({ view }) => view.self.role === 'router');
   const mean = routers.reduce((sum, { sentFrames }) => sum + sentFrames, 0) / routers.length / seconds;
-  assert.ok(mean < mostFramesPerSecond, `${mean} frames a second`);
+  assert.ok(mean < maxFramesPerSecond, `${mean} frames per second`);
   for (const { view } of routers)
-    assert.ok(view.read !== undefined && view.platform !== undefined, 'every router hears of the readings');
+    assert.ok(view.read !== undefined && view.platform !== undefined, 'a router has no reading stamp');
 });
 
-test('lost frames bring nobody under the dead', () => {
-  const many = openMany({ ...grown, lossShare: 0.1 });
-  many.startAcquainted();
-  many.play(30 * second);
-  assert.is(many.falseAlarms.length, 0);
+test('with a tenth of all frames lost, no live node is declared dead', () => {
+  const cluster = openMany({ ...eightyNodes, lossShare: 0.1 });
+  cluster.startConverged();
+  cluster.play(30 * second);
+  assert.is(cluster.falsePositives.length, 0);
 });
 
-test('at the planned size news is everywhere within two seconds, a tenth dead, and the dead and the returned are counted', () => {
-  const many = openMany(planned);
-  many.startAcquainted();
-  many.play(2 * second);
-  const dead = many.nodes.filter((_, place) => place % 10 === 5);
-  dead.forEach(many.kill);
-  offerSetup(many, 0, 1);
-  isWithin(many.until(hasSetup(1), 5 * second), 2 * second, 'a setup');
-  isWithin(many.until(knowsLiving(many), 20 * second, 200_000), 15 * second, 'giving up the dead');
-  for (const node of dead) many.start(node);
-  isWithin(many.until(hasSetup(1), 5 * second), 2 * second, 'a setup for those that begin');
-  isWithin(many.until(knowsLiving(many), 20 * second, 200_000), 10 * second, 'knowing the returned');
-  assert.equal(new Set(many.living().map(({ view }) => livingRoutersOf(view))), new Set([400]));
-  assert.is(many.falseAlarms.length, 0);
+test('at the planned size a configuration is in force within two seconds with a tenth dead, and restarted nodes rejoin', () => {
+  const cluster = openMany(plannedSize);
+  cluster.startConverged();
+  cluster.play(2 * second);
+  const dead = cluster.nodes.filter((_, index) => index % 10 === 5);
+  dead.forEach(cluster.kill);
+  offerSetup(cluster, 0, 1);
+  assertWithin(cluster.timeUntil(hasSetup(1), 5 * second), 2 * second, 'a configuration');
+  assertWithin(
+    cluster.timeUntil(knowsAllLive(cluster), 20 * second, 200_000),
+    15 * second,
+    'declaring the dead nodes dead',
+  );
+  for (const node of dead) cluster.start(node);
+  assertWithin(cluster.timeUntil(hasSetup(1), 5 * second), 2 * second, 'a configuration on the restarted nodes');
+  assertWithin(
+    cluster.timeUntil(knowsAllLive(cluster), 20 * second, 200_000),
+    10 * second,
+    'rejoining of the restarted nodes',
+  );
+  assert.equal(new Set(cluster.liveNodes().map(({ view }) => livingRoutersOf(view))), new Set([400]));
+  assert.is(cluster.falsePositives.length, 0);
 });
 
 test.run();
--- a/tests/spread/many.ts
+++ b/tests/spread/many.ts
@@ -11,26 +11,28 @@
 const seedOf = (nodes: readonly ManyNode[]): Partner =>
   nodes[0]?.view.self ?? { node: '', role: 'control', address: '', http: '', locality: '' };
 
-/** What one of those that all know each other knows. */
-const withoutSelf = (view: SpreadView, all: SpreadView, address: string): SpreadView => {
+/** The view of one node of a converged cluster, made from a view that has all nodes as peers. */
+const convergedView = (view: SpreadView, all: SpreadView, address: string): SpreadView => {
   const partners = all.partners.delete(address);
   const crowd = [...all.partners.keys()].reduce((sum, known) => (sum ^ drawOf(`${known}#0`)) >>> 0, 0);
   const routers = all.partners.count(({ partner }) => partner.role === 'router');
   return { ...view, partners, crowd, routers, wholeUs: 0, introduced: new Set(partners.keys()) };
 };
 
-/** A node of many: its machine, whether it lives, and where it is. */
+/** A simulated node: its gossip state, location and counters. */
 export type ManyNode = {
   readonly address: string;
   readonly region: number;
   readonly locality: string;
   view: SpreadView;
   isUp: boolean;
+  /** The number of starts; frames and ticks of an earlier start are dropped. */
   boot: number;
-  /** Until when its processor is at work on frames that it has received. */
+  /** When its processor will have handled all received frames. */
   busyUntilUs: Micros;
   sentFrames: number;
   sentBytes: number;
+  /** Bytes sent to other localities. */
   farBytes: number;
 };
 
@@ -40,34 +42,36 @@
   readonly controls: number;
   readonly localities: number;
   readonly regions: number;
+  /** The probability that a frame is lost. */
   readonly lossShare?: number;
-  /** How long a node's processor works on a frame that it has received; none takes no time. */
+  /** The processor time for a received frame; 0 by default. */
   readonly frameCostUs?: (self: Partner, frame: SpreadFrame) => Micros;
 };
 
 const tickUs: Micros = 50_000;
-const farDelayUs: Micros = 40_000;
+/** The additional delay between regions. */
+const interRegionDelayUs: Micros = 40_000;
 
-/** Spread machines in virtual time, with delays within and between regions, deaths, starts and cuts. */
+/** Opens a cluster of gossip state machines in virtual time, with delays, lost frames, crashes, restarts and partitions. */
 export const openMany = ({ seed, routers, controls, localities, regions, lossShare = 0, frameCostUs }: ManyPlan) => {
   const chance = seededChance(seed);
-  const slots = new Map<number, (() => void)[]>();
+  const actsBySlot = new Map<number, (() => void)[]>();
   let atUs = 0;
   const slotUs = 500;
-  const after = (spanUs: Micros, act: () => void): void => {
-    const slot = Math.ceil((atUs + Math.max(1, spanUs)) / slotUs);
-    const acts = slots.get(slot);
-    if (acts === undefined) slots.set(slot, [act]);
+  const after = (delayUs: Micros, act: () => void): void => {
+    const slot = Math.ceil((atUs + Math.max(1, delayUs)) / slotUs);
+    const acts = actsBySlot.get(slot);
+    if (acts === undefined) actsBySlot.set(slot, [act]);
     else acts.push(act);
   };
   const nodes: ManyNode[] = [];
   const byAddress = new Map<string, ManyNode>();
   let isCut: (from: ManyNode, to: ManyNode) => boolean = () => false;
-  /** Living nodes that somebody gave up: `giver gave up whom`. */
-  const falseAlarms: string[] = [];
+  /** Live nodes that another node has declared dead, as in `10.0.0.1:7000 declared 10.0.0.2:7000 dead`. */
+  const falsePositives: string[] = [];
   const seeds: string[] = [];
 
-  const deliver = (from: ManyNode, address: string, frame: SpreadFrame): void => {
+  const transmit = (from: ManyNode, address: string, frame: SpreadFrame): void => {
     const to = byAddress.get(address);
     const bytes = calculateObjectSize(frame);
     from.sentFrames += 1;
@@ -76,15 +80,15 @@
     if (to.locality !== from.locality) from.farBytes += bytes;
     if (isCut(from, to) || chance() < lossShare) return;
     const { boot } = to;
-    after(200 + chance() * 1_500 + (from.region === to.region ? 0 : farDelayUs), () => {
+    after(200 + chance() * 1_500 + (from.region === to.region ? 0 : interRegionDelayUs), () => {
       if (!isCut(from, to))
-        work(to, frame, () => {
+        schedule(to, frame, () => {
           if (to.isUp && to.boot === boot) take(to, { type: 'frame', at: atUs, from: from.address, frame });
         });
     });
   };
-  /** Lets a frame wait until the processor has done with it and with all that came before it. */
-  const work = (node: ManyNode, frame: SpreadFrame, act: () => void): void => {
+  /** Delays the handling of a frame until the processor has finished it and all earlier ones. */
+  const schedule = (node: ManyNode, frame: SpreadFrame, act: () => void): void => {
     const costUs = frameCostUs?.(node.view.self, frame) ?? 0;
     if (costUs === 0) {
       act();
@@ -100,8 +104,8 @@
     if (step.view.lost !== former)
       for (const [address] of step.view.lost)
         if (!former.has(address) && byAddress.get(address)?.isUp === true)
-          falseAlarms.push(`${node.address} gave up ${address}`);
-    for (const effect of step.effects) if (effect.type === 'send') deliver(node, effect.address, effect.frame);
+          falsePositives.push(`${node.address} declared ${address} dead`);
+    for (const effect of step.effects) if (effect.type === 'send') transmit(node, effect.address, effect.frame);
   };
   const start = (node: ManyNode): void => {
     node.isUp = true;
@@ -117,9 +121,9 @@
   };
   for (let index = 0; index < controls + routers; index += 1) {
     const role = index < controls ? 'control' : 'router';
-    const place = index % localities;
+    const localityIndex = index % localities;
     const address = `10.0.${index >> 8}.${index & 255}:7000`;
-    const locality = `locality-${place}`;
+    const locality = `locality-${localityIndex}`;
     const self = {
       node: `${role}-${index}`,
       role,
@@ -129,7 +133,7 @@
     } as const;
     const node: ManyNode = {
       address,
-      region: place % regions,
+      region: localityIndex % regions,
       locality,
       view: startSpreadView(self, []),
       isUp: false,
@@ -143,54 +147,54 @@
     byAddress.set(address, node);
     if (index < Math.min(3, controls)) seeds.push(address);
   }
-  const play = (spanUs: Micros): void => {
-    const endUs = atUs + spanUs;
+  const play = (durationUs: Micros): void => {
+    const endUs = atUs + durationUs;
     for (let slot = Math.floor(atUs / slotUs); slot * slotUs <= endUs; slot += 1) {
       atUs = Math.max(atUs, slot * slotUs);
-      const acts = slots.get(slot);
+      const acts = actsBySlot.get(slot);
       if (acts === undefined) continue;
-      slots.delete(slot);
+      actsBySlot.delete(slot);
       for (const act of acts) act();
     }
     atUs = endUs;
   };
-  /** Begins all at once, as nodes that have long known each other. */
-  const startAcquainted = (): void => {
+  /** Starts all nodes with converged membership. */
+  const startConverged = (): void => {
     const all = nodes.reduce(
       (view, { view: { self } }) => withPartner(view, self, 0).view,
       startSpreadView({ ...seedOf(nodes), address: 'nowhere:1' }, []),
     );
     for (const node of nodes) {
       start(node);
-      const known = withoutSelf(node.view, all, node.address);
-      node.view = known;
+      const converged = convergedView(node.view, all, node.address);
+      node.view = converged;
     }
   };
-  const living = (): readonly ManyNode[] => nodes.filter(({ isUp }) => isUp);
+  const liveNodes = (): readonly ManyNode[] => nodes.filter(({ isUp }) => isUp);
   return {
     nodes,
-    living,
-    falseAlarms,
+    liveNodes,
+    falsePositives,
     play,
     start,
-    startAcquainted,
+    startConverged,
     now: () => atUs,
     chance,
     kill: (node: ManyNode) => {
       node.isUp = false;
     },
-    cut: (isBetween: (from: ManyNode, to: ManyNode) => boolean) => {
-      isCut = isBetween;
+    cut: (isSevered: (from: ManyNode, to: ManyNode) => boolean) => {
+      isCut = isSevered;
     },
     offer: (node: ManyNode, event: SpreadEvent) => take(node, event),
-    /** How long until all living nodes have something; undefined when that takes too long. */
-    until: (has: (node: ManyNode) => boolean, mostUs: Micros, stepUs: Micros = 50_000): Micros | undefined => {
-      const sinceUs = atUs;
-      while (atUs < sinceUs + mostUs) {
-        if (living().every(has)) return atUs - sinceUs;
+    /** Runs until a condition is true on all live nodes and returns the time that took; undefined if that is over a limit. */
+    timeUntil: (isDone: (node: ManyNode) => boolean, limitUs: Micros, stepUs: Micros = 50_000): Micros | undefined => {
+      const startUs = atUs;
+      while (atUs < startUs + limitUs) {
+        if (liveNodes().every(isDone)) return atUs - startUs;
         play(stepUs);
       }
-      return living().every(has) ? atUs - sinceUs : undefined;
+      return liveNodes().every(isDone) ? atUs - startUs : undefined;
     },
     resetCounts: () => {
       for (const node of nodes) {
--- a/tests/spread/patience.test.ts
+++ b/tests/spread/patience.test.ts
@@ -8,35 +8,39 @@
   type Patience,
 } from '../../src/spread/link/patience.js';
 
-/** Sends at the given moments to a receiver that signs as long as it lives; the moment at which the link is given up. */
-const givenUpAt = (moments: readonly number[], livesUntilUs: number): number | undefined => {
-  let patience: Patience = freshPatience;
-  let signedUs = Number.NEGATIVE_INFINITY;
-  for (const nowUs of moments) {
-    patience = patienceAfterSend(patience, nowUs);
-    if (isOverdue(patience, nowUs)) return nowUs;
-    if (nowUs >= livesUntilUs || nowUs < signedUs + signSpanUs) continue;
-    signedUs = nowUs;
-    patience = freshPatience;
+/** The moment at which a sender times out a receiver that acknowledges until `aliveUntilUs`; undefined if it never does. */
+const timeoutAt = (sendTimes: readonly number[], aliveUntilUs: number): number | undefined => {
+  let ackTimer: Patience = freshPatience;
+  let lastAckUs = Number.NEGATIVE_INFINITY;
+  for (const nowUs of sendTimes) {
+    ackTimer = patienceAfterSend(ackTimer, nowUs);
+    if (isOverdue(ackTimer, nowUs)) return nowUs;
+    if (nowUs >= aliveUntilUs || nowUs < lastAckUs + signSpanUs) continue;
+    lastAckUs = nowUs;
+    ackTimer = freshPatience;
   }
   return undefined;
 };
 
-const everyUs = (spanUs: number, untilUs: number): readonly number[] =>
-  Array.from({ length: Math.floor(untilUs / spanUs) }, (_, place) => place * spanUs);
+const everyUs = (intervalUs: number, untilUs: number): readonly number[] =>
+  Array.from({ length: Math.floor(untilUs / intervalUs) }, (_, index) => index * intervalUs);
 
-test('a living receiver is never given up, however often frames are sent', () => {
-  for (const spanUs of [1_000, 25_000, 200_000, 399_999, 700_000, 799_999, 800_001, 1_600_000, 5_000_000])
-    assert.is(givenUpAt(everyUs(spanUs, 60_000_000), Number.POSITIVE_INFINITY), undefined, `every ${spanUs} us`);
-  assert.is(givenUpAt([0, 100_000, 10_000_000, 10_100_000, 30_000_000], Number.POSITIVE_INFINITY), undefined);
+test('a receiver that acknowledges is never timed out, whatever the interval between frames', () => {
+  for (const intervalUs of [1_000, 25_000, 200_000, 399_999, 700_000, 799_999, 800_001, 1_600_000, 5_000_000])
+    assert.is(
+      timeoutAt(everyUs(intervalUs, 60_000_000), Number.POSITIVE_INFINITY),
+      undefined,
+      `every ${intervalUs} us`,
+    );
+  assert.is(timeoutAt([0, 100_000, 10_000_000, 10_100_000, 30_000_000], Number.POSITIVE_INFINITY), undefined);
 });
 
-test('a receiver that fell silent is given up within two seconds', () => {
-  for (const spanUs of [25_000, 200_000, 400_000]) {
-    const gaveUpUs = givenUpAt(everyUs(spanUs, 60_000_000), 5_000_000);
+test('a receiver that stops acknowledging is timed out within two seconds', () => {
+  for (const intervalUs of [25_000, 200_000, 400_000]) {
+    const timedOutUs = timeoutAt(everyUs(intervalUs, 60_000_000), 5_000_000);
     assert.ok(
-      gaveUpUs !== undefined && gaveUpUs > 6_000_000 && gaveUpUs < 7_000_000,
-      `every ${spanUs} us: ${gaveUpUs}`,
+      timedOutUs !== undefined && timedOutUs > 6_000_000 && timedOutUs < 7_000_000,
+      `every ${intervalUs} us: ${timedOutUs}`,
     );
   }
 });
