--- a/src/spread/machine/digest.ts
+++ b/src/spread/machine/digest.ts
@@ -34,8 +34,8 @@
 
 /** A poller sends its own stamp while that is recent, so that two concurrent pollers detect each other. */
 const readingStampToSend = (view: SpreadView): ReadMark | undefined => {
-  if (view.platform === undefined || view.ownRead === undefined) return view.read;
-  return boundAt(view.platform, view.atUs) <= view.ownRead.atUs + staleReadUs ? view.ownRead : view.read;
+  if (view.platform === undefined || view.ownReading === undefined) return view.read;
+  return boundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadUs ? view.ownReading : view.read;
 };
 
 /** Takes the least transmitted updates for one digest and decrements their remaining transmissions. */
--- a/src/spread/machine/draw.ts
+++ b/src/spread/machine/draw.ts
@@ -1,12 +1,12 @@
 /** A random number in [0, 1) and the next state of the generator. */
-export type Drawn = { readonly chance: number; readonly draw: number };
+export type Drawn = { readonly chance: number; readonly state: number };
 
 /** The Mulberry32 generator, as a pure function of its state. */
-export const nextDraw = (state: number): Drawn => {
-  const draw = (state + 0x6d2b79f5) >>> 0;
-  let mixed = Math.imul(draw ^ (draw >>> 15), draw | 1);
+export const nextDraw = (previousState: number): Drawn => {
+  const state = (previousState + 0x6d2b79f5) >>> 0;
+  let mixed = Math.imul(state ^ (state >>> 15), state | 1);
   mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), mixed | 61);
-  return { chance: ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296, draw };
+  return { chance: ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296, state };
 };
 
 /** The 32-bit FNV-1a hash of a text, over its UTF-16 code units. */
@@ -19,17 +19,17 @@
 
 /** A random sample without replacement, and the next state of the generator. */
 export const someOf = <T>(
-  state: number,
+  initialState: number,
   items: readonly T[],
   count: number,
-): { readonly some: readonly T[]; readonly draw: number } => {
+): { readonly sample: readonly T[]; readonly state: number } => {
   const remaining = [...items];
-  const some: T[] = [];
-  let draw = state;
-  while (remaining.length > 0 && some.length < count) {
-    const drawn = nextDraw(draw);
-    draw = drawn.draw;
-    some.push(...remaining.splice(Math.floor(drawn.chance * remaining.length), 1));
+  const sample: T[] = [];
+  let state = initialState;
+  while (remaining.length > 0 && sample.length < count) {
+    const drawn = nextDraw(state);
+    state = drawn.state;
+    sample.push(...remaining.splice(Math.floor(drawn.chance * remaining.length), 1));
   }
-  return { some, draw };
+  return { sample, state };
 };
--- a/src/spread/machine/heartbeat.ts
+++ b/src/spread/machine/heartbeat.ts
@@ -25,26 +25,32 @@
 
 /** Starts a probe of each address that is a peer without one. */
 const startProbes = (view: SpreadView, addresses: readonly string[]): SpreadView => {
-  const unprobed = addresses.filter((address) => view.partners.has(address) && !view.awaited.has(address));
+  const unprobed = addresses.filter((address) => view.partners.has(address) && !view.pendingProbes.has(address));
   return {
     ...view,
-    awaited: unprobed.reduce((probes, address) => probes.set(address, { askedUs: view.atUs, tries: 1 }), view.awaited),
+    pendingProbes: unprobed.reduce(
+      (probes, address) => probes.set(address, { askedUs: view.atUs, tries: 1 }),
+      view.pendingProbes,
+    ),
   };
 };
 
 /** Repeats probes that have timed out. A peer that answers none of them becomes suspect, as in SWIM. */
 export const withProbes = (view: SpreadView): SpreadStep => {
-  const due = [...view.awaited].filter(([, { askedUs }]) => view.atUs >= askedUs + probeSpanUs);
+  const due = [...view.pendingProbes].filter(([, { askedUs }]) => view.atUs >= askedUs + probeSpanUs);
   return due.reduce<SpreadStep>(
     (step, [address, { tries }]) =>
       andThen(step, (current) => {
         if (tries < probeTries)
           return digestTo(
-            { ...current, awaited: current.awaited.set(address, { askedUs: current.atUs, tries: tries + 1 }) },
+            {
+              ...current,
+              pendingProbes: current.pendingProbes.set(address, { askedUs: current.atUs, tries: tries + 1 }),
+            },
             address,
             { asks: 'digest' },
           );
-        const timedOut = { ...current, awaited: current.awaited.delete(address) };
+        const timedOut = { ...current, pendingProbes: current.pendingProbes.delete(address) };
         const [update] = newsOf(timedOut, address);
         return update === undefined || update.state !== 'alive'
           ? stepped(timedOut)
@@ -56,13 +62,13 @@
 
 /** Pulls digests from some peers without waiting for a heartbeat if contact or the latest reading stamp is stale. */
 export const withUnease = (view: SpreadView): SpreadStep => {
-  if (hasFew(view) || view.atUs < view.uneasyUs) return stepped(view);
+  if (hasFew(view) || view.atUs < view.nextStalenessCheckUs) return stepped(view);
   const isReadingStale =
     view.read !== undefined &&
     view.platform !== undefined &&
     boundAt(view.platform, view.atUs) > view.read.atUs + uneasyReadUs;
-  if (!isReadingStale && view.atUs <= view.heardUs + uneasyHeardUs) return stepped(view);
-  const { targets, view: drawnView } = somePartners({ ...view, uneasyUs: view.atUs + digestSpanUs }, 2);
+  if (!isReadingStale && view.atUs <= view.lastContactUs + uneasyHeardUs) return stepped(view);
+  const { targets, view: drawnView } = somePartners({ ...view, nextStalenessCheckUs: view.atUs + digestSpanUs }, 2);
   return digestsTo(drawnView, targets, () => ({ asks: 'digest' }));
 };
 
@@ -70,32 +76,35 @@
 const nextInRound = (view: SpreadView): { readonly target: string | undefined; readonly view: SpreadView } => {
   const remaining = view.round.filter((address) => view.partners.has(address));
   if (remaining.length > 0) return { target: remaining[0], view: { ...view, round: remaining.slice(1) } };
-  const shuffled = someOf(view.draw, [...view.partners.keys()], view.partners.size);
-  return { target: shuffled.some[0], view: { ...view, draw: shuffled.draw, round: shuffled.some.slice(1) } };
+  const shuffled = someOf(view.randomState, [...view.partners.keys()], view.partners.size);
+  return {
+    target: shuffled.sample[0],
+    view: { ...view, randomState: shuffled.state, round: shuffled.sample.slice(1) },
+  };
 };
 
 /** Whether to request a full synchronization: never had one, or membership has differed from peers' for long. */
 const needsFullSync = (view: SpreadView): boolean =>
-  view.wholeUs === Number.NEGATIVE_INFINITY ||
-  (view.differsUs !== undefined &&
-    view.atUs > view.differsUs + differingSpanUs &&
-    view.atUs > view.wholeUs + wholeSpanUs);
+  view.lastFullSyncUs === Number.NEGATIVE_INFINITY ||
+  (view.divergedSinceUs !== undefined &&
+    view.atUs > view.divergedSinceUs + differingSpanUs &&
+    view.atUs > view.lastFullSyncUs + wholeSpanUs);
 
 /** A random seed or lost peer on every few heartbeats: both sides of a healed partition find each other by this. */
 const rejoinTargets = (view: SpreadView): { readonly targets: readonly string[]; readonly view: SpreadView } => {
-  if (view.digests % heartbeatsPerRejoinAttempt !== 0) return { targets: [], view };
+  if (view.heartbeatCount % heartbeatsPerRejoinAttempt !== 0) return { targets: [], view };
   const missing = [...new Set([...view.seeds, ...view.lost.keys()])].filter(
     (address) => address !== view.self.address && !view.partners.has(address),
   );
-  const drawn = someOf(view.draw, missing, 1);
-  return { targets: drawn.some, view: { ...view, draw: drawn.draw } };
+  const drawn = someOf(view.randomState, missing, 1);
+  return { targets: drawn.sample, view: { ...view, randomState: drawn.state } };
 };
 
 /** A heartbeat in a small fleet goes to all addresses, and regularly carries the whole membership. */
 const sendHeartbeatToAll = (view: SpreadView): SpreadStep => {
-  const includesWhole = view.digests % heartbeatsPerFullSync === 0;
+  const includesWhole = view.heartbeatCount % heartbeatsPerFullSync === 0;
   const addresses = addressesOf(view);
-  const fullSyncFrom = needsFullSync(view) ? addresses[view.digests % addresses.length] : undefined;
+  const fullSyncFrom = needsFullSync(view) ? addresses[view.heartbeatCount % addresses.length] : undefined;
   return digestsTo(startProbes(view, addresses), addresses, (address) =>
     address === fullSyncFrom ? { asks: 'whole' } : { whole: includesWhole },
   );
@@ -110,7 +119,7 @@
     ...new Set([...(round.target === undefined ? [] : [round.target]), ...random.targets, ...rejoin.targets]),
   ];
   const fullSyncFrom = needsFullSync(rejoin.view) ? targets[0] : undefined;
-  const probingView = fullSyncFrom === undefined ? rejoin.view : { ...rejoin.view, wholeUs: view.atUs };
+  const probingView = fullSyncFrom === undefined ? rejoin.view : { ...rejoin.view, lastFullSyncUs: view.atUs };
   return digestsTo(startProbes(probingView, targets), targets, (address) => ({
     asks: address === fullSyncFrom ? 'whole' : 'digest',
   }));
@@ -118,10 +127,10 @@
 
 /** Sends the heartbeat, if it is due. */
 export const withBeat = (view: SpreadView): SpreadStep => {
-  if (view.atUs < view.digestUs) return stepped(view);
+  if (view.atUs < view.nextHeartbeatUs) return stepped(view);
   const isSmall = hasFew(view);
-  const dueView = { ...view, digestUs: view.atUs + (isSmall ? digestSpanUs : beatUsOf(view.partners.size)) };
+  const dueView = { ...view, nextHeartbeatUs: view.atUs + (isSmall ? digestSpanUs : beatUsOf(view.partners.size)) };
   return andThen(isSmall ? sendHeartbeatToAll(dueView) : sendHeartbeatToSome(dueView), (next) =>
-    stepped({ ...next, digests: next.digests + 1 }),
+    stepped({ ...next, heartbeatCount: next.heartbeatCount + 1 }),
   );
 };
--- a/src/spread/machine/membership-gossip.ts
+++ b/src/spread/machine/membership-gossip.ts
@@ -22,9 +22,13 @@
 
 /** Tracks since when membership differs from peers'; if it does for long, updates were missed. */
 const compareMembership = (view: SpreadView, digest: Digest): SpreadView => {
-  const wholeUs = digest.whole === true ? view.atUs : view.wholeUs;
-  if (digest.crowd === view.crowd) return { ...view, wholeUs, differsUs: undefined };
-  return { ...view, wholeUs, differsUs: digest.whole === true ? undefined : (view.differsUs ?? view.atUs) };
+  const lastFullSyncUs = digest.whole === true ? view.atUs : view.lastFullSyncUs;
+  if (digest.crowd === view.crowd) return { ...view, lastFullSyncUs, divergedSinceUs: undefined };
+  return {
+    ...view,
+    lastFullSyncUs,
+    divergedSinceUs: digest.whole === true ? undefined : (view.divergedSinceUs ?? view.atUs),
+  };
 };
 
 /**
@@ -33,8 +37,8 @@
  */
 const probeSuspects = (view: SpreadView, suspects: readonly string[]): SpreadStep =>
   suspects.reduce<SpreadStep>((step, address) => {
-    const drawn = nextDraw(step.view.draw);
-    const drawnView = { ...step.view, draw: drawn.draw };
+    const drawn = nextDraw(step.view.randomState);
+    const drawnView = { ...step.view, randomState: drawn.state };
     if (drawn.chance >= 4 / Math.max(1, drawnView.partners.size)) return { view: drawnView, effects: step.effects };
     return andThen({ view: drawnView, effects: step.effects }, (probingView) =>
       digestTo(probingView, address, { asks: 'digest' }),
--- a/src/spread/machine/membership.ts
+++ b/src/spread/machine/membership.ts
@@ -114,7 +114,7 @@
       ...view,
       partners: view.partners.delete(address),
       lost: lost.size > maxLostPeers && oldest !== undefined ? lost.delete(oldest) : lost,
-      awaited: view.awaited.delete(address),
+      pendingProbes: view.pendingProbes.delete(address),
       introduced,
     },
     address,
@@ -186,14 +186,14 @@
 
 /** Declares suspects dead that have not refuted the suspicion in time, and removes peers that were lost long ago. */
 export const withoutOverdue = (view: SpreadView): SpreadStep => {
-  if (view.atUs < view.lookedUs + expiryCheckIntervalUs) return stepped(view);
+  if (view.atUs < view.lastExpiryCheckUs + expiryCheckIntervalUs) return stepped(view);
   const overdue = [...view.partners.values()].filter(
     ({ suspectUs }) => suspectUs !== undefined && view.atUs > suspectUs + suspectSpanUs,
   );
   const lost = view.lost.filter(({ lostUs }) => view.atUs <= lostUs + lostSpanUs);
   const retainedView = {
     ...view,
-    lookedUs: view.atUs,
+    lastExpiryCheckUs: view.atUs,
     lost,
     lostRouters: lost.count(({ partner }) => partner.role === 'router'),
   };
--- a/src/spread/machine/reading.ts
+++ b/src/spread/machine/reading.ts
@@ -19,8 +19,9 @@
 /** Pushes the latest reading stamp in a large fleet, whose heartbeats are too slow for it, but only once per interval. */
 const pushIfLarge = (view: SpreadView, from?: string): SpreadStep => {
   const { read } = view;
-  if (read === undefined || read.atUs < view.pushedReadUs + pushedReadSpanUs || hasFew(view)) return stepped(view);
-  return pushedReading({ ...view, pushedReadUs: read.atUs }, from);
+  if (read === undefined || read.atUs < view.lastPushedReadingUs + pushedReadSpanUs || hasFew(view))
+    return stepped(view);
+  return pushedReading({ ...view, lastPushedReadingUs: read.atUs }, from);
 };
 
 /**
@@ -34,7 +35,7 @@
   const begunUs = Math.max(0, nowUs - Math.max(0, view.atUs - begunAt));
   const stamp: ReadMark = { atUs: begunUs, by: readerKeyOf(view.self) };
   const readView = reading.whole
-    ? { ...view, platform, ownRead: stamp, read: laterMark(view.read, stamp) }
+    ? { ...view, platform, ownReading: stamp, read: laterMark(view.read, stamp) }
     : { ...view, platform };
   const list = foldReading(view.list, reading, nowUs, begunUs);
   return andThen(
--- a/src/spread/machine/spread-view.ts
+++ b/src/spread/machine/spread-view.ts
@@ -27,7 +27,7 @@
   /** The stamp of the latest complete reading of any node. */
   readonly read: ReadMark | undefined;
   /** The stamp of this node's own latest complete reading. */
-  readonly ownRead: ReadMark | undefined;
+  readonly ownReading: ReadMark | undefined;
   /** A lower bound of the platform's time. */
   readonly platform: TimeBound | undefined;
   /** Live and suspect peers, by address. */
@@ -47,27 +47,27 @@
   /** Peers that have confirmed to have this node's description. */
   readonly introduced: ReadonlySet<string>;
   /** Unanswered probes, by address. */
-  readonly awaited: PersistentMap<string, Awaited>;
+  readonly pendingProbes: PersistentMap<string, Awaited>;
   /** The remaining targets of the current round of heartbeats, in random order. */
   readonly round: readonly string[];
   /** The state of the random number generator. */
-  readonly draw: number;
+  readonly randomState: number;
   /** Since when the membership hash has differed from peers'; undefined while it does not. */
-  readonly differsUs: Micros | undefined;
+  readonly divergedSinceUs: Micros | undefined;
   /** When a full synchronization was last received, or last requested in a large fleet. */
-  readonly wholeUs: Micros;
+  readonly lastFullSyncUs: Micros;
   /** When staleness of contact and of the reading stamp is next checked. */
-  readonly uneasyUs: Micros;
+  readonly nextStalenessCheckUs: Micros;
   /** When suspects and lost peers were last checked for expiry. */
-  readonly lookedUs: Micros;
+  readonly lastExpiryCheckUs: Micros;
   /** When the reading began whose stamp was last pushed, on the fleet's time line. */
-  readonly pushedReadUs: Micros;
+  readonly lastPushedReadingUs: Micros;
   /** When the next heartbeat is due. */
-  readonly digestUs: Micros;
+  readonly nextHeartbeatUs: Micros;
   /** The number of heartbeats sent. */
-  readonly digests: number;
+  readonly heartbeatCount: number;
   /** When a frame last arrived from any peer. */
-  readonly heardUs: Micros;
+  readonly lastContactUs: Micros;
   /** When an inquiry was last sent in response to a digest, and the revision and version that it is expected to bring. */
   readonly lastInquiry: { readonly atUs: Micros; readonly revision: number; readonly version: number };
   /** Whether no frame from any peer has arrived within the isolation timeout. */
@@ -77,7 +77,7 @@
   /** Whether a refresh is in progress. */
   readonly refreshing: boolean;
   /** When the inquiries of a refresh are next repeated. */
-  readonly askedAgainUs: Micros;
+  readonly nextInquiryUs: Micros;
 };
 
 /** The view of a process that starts: isolated, with its seeds as the only addresses. */
@@ -90,7 +90,7 @@
   list: undefined,
   formerLists: [],
   read: undefined,
-  ownRead: undefined,
+  ownReading: undefined,
   platform: undefined,
   partners: emptyMap(),
   lost: emptyMap(),
@@ -100,20 +100,20 @@
   incarnation: 0,
   pendingUpdates: emptyMap(),
   introduced: new Set(),
-  awaited: emptyMap(),
+  pendingProbes: emptyMap(),
   round: [],
-  draw: drawOf(self.address),
-  differsUs: undefined,
-  wholeUs: Number.NEGATIVE_INFINITY,
-  uneasyUs: 0,
-  lookedUs: 0,
-  pushedReadUs: Number.NEGATIVE_INFINITY,
-  digestUs: 0,
-  digests: 0,
-  heardUs: Number.NEGATIVE_INFINITY,
+  randomState: drawOf(self.address),
+  divergedSinceUs: undefined,
+  lastFullSyncUs: Number.NEGATIVE_INFINITY,
+  nextStalenessCheckUs: 0,
+  lastExpiryCheckUs: 0,
+  lastPushedReadingUs: Number.NEGATIVE_INFINITY,
+  nextHeartbeatUs: 0,
+  heartbeatCount: 0,
+  lastContactUs: Number.NEGATIVE_INFINITY,
   lastInquiry: { atUs: Number.NEGATIVE_INFINITY, revision: 0, version: 0 },
   isolated: true,
   inquiry: 0,
   refreshing: false,
-  askedAgainUs: 0,
+  nextInquiryUs: 0,
 });
--- a/src/spread/machine/step.ts
+++ b/src/spread/machine/step.ts
@@ -36,8 +36,8 @@
   const known = view.partners.get(from);
   const contactView: SpreadView = {
     ...view,
-    heardUs: view.atUs,
-    awaited: view.awaited.delete(from),
+    lastContactUs: view.atUs,
+    pendingProbes: view.pendingProbes.delete(from),
     partners: known === undefined ? view.partners : view.partners.set(from, { ...known, heardUs: view.atUs }),
   };
   return view.isolated
@@ -46,15 +46,15 @@
 };
 
 const onTick = (view: SpreadView): SpreadStep => {
-  const losesContact = !view.isolated && view.atUs > view.heardUs + isolatedSpanUs;
+  const losesContact = !view.isolated && view.atUs > view.lastContactUs + isolatedSpanUs;
   const checkedStep = losesContact
     ? stepped({ ...view, isolated: true }, { type: 'isolated' as const, isolated: true })
     : stepped(view);
-  const isInquiryDue = view.refreshing && view.atUs >= view.askedAgainUs;
+  const isInquiryDue = view.refreshing && view.atUs >= view.nextInquiryUs;
   return [withoutOverdue, withProbes, withUnease, withBeat].reduce<SpreadStep>(
     andThen,
     isInquiryDue
-      ? andThen(checkedStep, (next) => withInquiries({ ...next, askedAgainUs: view.atUs + digestSpanUs }))
+      ? andThen(checkedStep, (next) => withInquiries({ ...next, nextInquiryUs: view.atUs + digestSpanUs }))
       : checkedStep,
   );
 };
@@ -78,7 +78,7 @@
         ...nowView,
         inquiry: nowView.inquiry + 1,
         refreshing: true,
-        askedAgainUs: nowView.atUs + digestSpanUs,
+        nextInquiryUs: nowView.atUs + digestSpanUs,
       });
     }
   }
@@ -106,7 +106,7 @@
     atUs: Math.max(view.atUs, event.at),
     platform: spanUs >= longestStepUs ? withoutSpan(view.platform, spanUs) : view.platform,
     /** After a gap in its own execution this process cannot judge which responses are late. */
-    awaited: spanUs >= longestStepUs ? emptyMap() : view.awaited,
+    pendingProbes: spanUs >= longestStepUs ? emptyMap() : view.pendingProbes,
   };
   const step = onEvent(nowView, event);
   return step.effects.length < 2 ? step : { view: step.view, effects: withoutSuperseded(step.effects) };
--- a/src/spread/machine/targets.ts
+++ b/src/spread/machine/targets.ts
@@ -28,9 +28,12 @@
     if (address !== except && suspectUs === undefined)
       (partner.locality === view.self.locality ? local : remote).push(address);
   const remoteCount = Math.max(Math.ceil(count / 3), count - local.length);
-  const localSample = someOf(view.draw, local, count - Math.min(remoteCount, remote.length));
-  const remoteSample = someOf(localSample.draw, remote, remoteCount);
-  return { targets: [...localSample.some, ...remoteSample.some], view: { ...view, draw: remoteSample.draw } };
+  const localSample = someOf(view.randomState, local, count - Math.min(remoteCount, remote.length));
+  const remoteSample = someOf(localSample.state, remote, remoteCount);
+  return {
+    targets: [...localSample.sample, ...remoteSample.sample],
+    view: { ...view, randomState: remoteSample.state },
+  };
 };
 
 /** The targets of a push: all addresses in a small fleet, otherwise random peers. */
--- a/tests/spread/many.ts
+++ b/tests/spread/many.ts
@@ -16,7 +16,7 @@
   const partners = all.partners.delete(address);
   const crowd = [...all.partners.keys()].reduce((sum, known) => (sum ^ drawOf(`${known}#0`)) >>> 0, 0);
   const routers = all.partners.count(({ partner }) => partner.role === 'router');
-  return { ...view, partners, crowd, routers, wholeUs: 0, introduced: new Set(partners.keys()) };
+  return { ...view, partners, crowd, routers, lastFullSyncUs: 0, introduced: new Set(partners.keys()) };
 };
 
 /** A simulated node: its gossip state, location and counters. */
