--- a/src/spread/frame/frame.ts
+++ b/src/spread/frame/frame.ts
@@ -53,9 +53,11 @@
       /** The configuration that the sender holds, as the base of a delta; without it the receiver sends a whole one. */
       readonly base?: RecordBase;
     }
+  /** The sender's whole configuration. */
   | { readonly type: 'setup'; readonly record: SetupRecord }
   /** The difference from a configuration that the receiver holds to the newest one. */
   | { readonly type: 'setup-delta'; readonly delta: RecordDelta }
+  /** The sender's server list; of a polled list perhaps only the entries that the receiver lacks. */
   | { readonly type: 'list'; readonly list: ServerList | AskedList }
   /**
    * A Raft message. `to` is the identity of the addressed replica: a control node that restarts without its data at the
@@ -71,6 +73,7 @@
   /** A router requests tokens from a quota store; `ask` is the router's own request number, repeated in the reply. */
   | { readonly type: 'quota-request'; readonly ask: number; readonly request: QuotaRequest }
   | { readonly type: 'quota-reply'; readonly ask: number; readonly reply: QuotaReply }
+  /** A request to a control node; the reply repeats `requestId`. */
   | { readonly type: 'request'; readonly requestId: string; readonly request: CoreRequest }
   | { readonly type: 'reply'; readonly requestId: string; readonly reply: CoreReply };
 
--- a/src/spread/machine/digest.ts
+++ b/src/spread/machine/digest.ts
@@ -18,7 +18,7 @@
   /** The number of the inquiry that the digest responds to. */
   readonly inquiry?: number;
   /** Includes the update about the receiver itself, so that it can refute a wrong one. */
-  readonly disputes?: boolean;
+  readonly includesReceiver?: boolean;
 };
 
 const maxUpdatesPerDigest = 6;
@@ -57,7 +57,7 @@
   const updates = takeUpdates(view);
   const isIntroduced = view.introduced.has(address);
   const updateAddresses = new Set([
-    ...(options.disputes === true || view.partners.get(address)?.suspectUs !== undefined ? [address] : []),
+    ...(options.includesReceiver === true || view.partners.get(address)?.suspectUs !== undefined ? [address] : []),
     ...updates.addresses,
   ]);
   const frame: SpreadFrame = {
@@ -71,7 +71,7 @@
     platformUs: view.platform === undefined ? undefined : boundAt(view.platform, view.atUs),
     partners:
       options.whole === true
-        ? [...newsBeside(view, options.crowds), ...(options.disputes === true ? newsOf(view, address) : [])]
+        ? [...newsBeside(view, options.crowds), ...(options.includesReceiver === true ? newsOf(view, address) : [])]
         : [...updateAddresses].flatMap((known) => newsOf(view, known)),
     crowd: view.crowd,
     ...(options.whole === true ? { whole: true } : {}),
--- a/src/spread/machine/membership-gossip.ts
+++ b/src/spread/machine/membership-gossip.ts
@@ -67,14 +67,17 @@
     andThen(applied, (appliedView) => probeSuspects(appliedView, suspects)),
     (appliedView) => {
       const comparedView = compareMembership(appliedView, digest);
-      const disputes = isDisputed(comparedView, from, digest.incarnation);
+      const includesReceiver = isDisputed(comparedView, from, digest.incarnation);
       const needsResponse =
-        digest.asks !== undefined || digest.unknown === true || disputes || comparedView.incarnation !== incarnation;
+        digest.asks !== undefined ||
+        digest.unknown === true ||
+        includesReceiver ||
+        comparedView.incarnation !== incarnation;
       return needsResponse
         ? digestTo(comparedView, from, {
             whole: digest.asks === 'whole',
             ...(digest.crowds === undefined ? {} : { crowds: digest.crowds }),
-            disputes,
+            includesReceiver,
           })
         : stepped(comparedView);
     },
