--- a/tests/mutants/spread-mutants.ts
+++ b/tests/mutants/spread-mutants.ts
@@ -20,7 +20,7 @@
   {
     name: 'core machines leave news to gossip alone',
     file: 'src/spread/machine/targets.ts',
-    find: "if (view.self.role !== 'control' || hasFew(view)) return [];",
+    find: "if (view.self.role !== 'control' || isSmallFleet(view)) return [];",
     put: "if (view.self.role !== 'none') return [];",
     by: test('tests/spread/slow-processors.test.js'),
   },
@@ -103,21 +103,21 @@
   },
   {
     name: 'a frame of a former life of its sender is taken',
-    file: 'src/spread/link/life-fence.ts',
+    file: 'src/spread/link/instance-fence.ts',
     find: "if (known !== undefined && known.life !== sender.life && known.connection > connection) return 'other-life';",
     put: '',
     by: test('tests/sim/former-life.test.js'),
   },
   {
     name: 'a frame for a former life of its receiver is taken',
-    file: 'src/spread/link/life-fence.ts',
+    file: 'src/spread/link/instance-fence.ts',
     find: "if (receiverLife !== ownLife) return 'other-life';",
     put: '',
     by: test('tests/sim/former-life.test.js'),
   },
   {
     name: 'a frame of another fleet is taken',
-    file: 'src/spread/link/life-fence.ts',
+    file: 'src/spread/link/instance-fence.ts',
     find: "if (sender.fleet !== fleet) return 'other-fleet';",
     put: '',
     by: test('tests/spread/link-lives.test.js'),
