--- a/src/decision/hotness/schedule.ts
+++ b/src/decision/hotness/schedule.ts
@@ -4,34 +4,42 @@
 import type { HotPrefix } from './hot-prefix.js';
 import { arcAt, arcCount, scoreAt, type Hotness } from './hotness.js';
 
-const goesBefore = (left: HotPrefix, leftName: Prefix, right: HotPrefix, rightName: Prefix, atUs: Micros): boolean => {
+const ranksBefore = (
+  left: HotPrefix,
+  leftPrefix: Prefix,
+  right: HotPrefix,
+  rightPrefix: Prefix,
+  atUs: Micros,
+): boolean => {
   const order = left.tierPlace - right.tierPlace || scoreAt(right, atUs) - scoreAt(left, atUs);
-  return order < 0 || (order === 0 && leftName < rightName);
+  return order < 0 || (order === 0 && leftPrefix < rightPrefix);
 };
 
 /**
- * The place of an opening in the warm-up schedule of one range: best tier first, hottest first within a tier. Looks
- * only at openings that lie in the range, and no further than `most`; none for an opening that is not in the schedule.
+ * The rank of a prefix in the warm-up schedule of one range: best tier first, hottest first within a tier. Visits only
+ * the arcs that the range touches. Undefined if the prefix is not in the range, or ranks at `limit` or below.
  */
 export const rankIn = (
   hotness: Hotness,
-  ranked: { readonly prefix: Prefix; readonly service: string },
+  candidate: { readonly prefix: Prefix; readonly service: string },
   range: Range,
   atUs: Micros,
-  most: number,
+  limit: number,
 ): number | undefined => {
-  const own = hotness.prefixes.get(ranked.prefix);
-  if (own === undefined || own.service !== ranked.service || !rangeHolds(range, own.position)) return undefined;
+  const target = hotness.prefixes.get(candidate.prefix);
+  if (target === undefined || target.service !== candidate.service || !rangeHolds(range, target.position))
+    return undefined;
   const firstArc = arcAt(range.after);
   const lastArc = arcAt(range.upTo);
-  const arcSpan = range.after < range.upTo ? lastArc - firstArc : Math.min(arcCount - 1, lastArc - firstArc + arcCount);
+  const arcSteps =
+    range.after < range.upTo ? lastArc - firstArc : Math.min(arcCount - 1, lastArc - firstArc + arcCount);
   let rank = 0;
-  for (let step = 0; step <= arcSpan; step += 1)
+  for (let step = 0; step <= arcSteps; step += 1)
     for (const prefix of hotness.arcs.get((firstArc + step) % arcCount) ?? []) {
       const other = hotness.prefixes.get(prefix);
-      if (other === undefined || other.service !== ranked.service || !rangeHolds(range, other.position)) continue;
-      if (goesBefore(other, prefix, own, ranked.prefix, atUs)) rank += 1;
-      if (rank >= most) return undefined;
+      if (other === undefined || other.service !== candidate.service || !rangeHolds(range, other.position)) continue;
+      if (ranksBefore(other, prefix, target, candidate.prefix, atUs)) rank += 1;
+      if (rank >= limit) return undefined;
     }
   return rank;
 };
--- a/src/decision/machine/step/direct.ts
+++ b/src/decision/machine/step/direct.ts
@@ -13,7 +13,7 @@
 import type { Placement } from './placement.js';
 import { hasRetryAllowance, withTry } from './retry-allowance.js';
 
-const held = (view: DecisionView, exchange: ExchangeView, placement: Placement, leader: string): DecisionStep => {
+const hold = (view: DecisionView, exchange: ExchangeView, placement: Placement, leader: string): DecisionStep => {
   const flightKey = flightKeyOf(placement.server, exchange.prefix);
   const flight = view.flights.get(flightKey);
   const untilUs =
@@ -34,27 +34,27 @@
   );
 };
 
-const delivered = (view: DecisionView, exchange: ExchangeView, placement: Placement): DecisionStep => {
+const deliver = (view: DecisionView, exchange: ExchangeView, placement: Placement): DecisionStep => {
   const flightKey = flightKeyOf(placement.server, exchange.prefix);
-  const leads = placement.reason.cold && !view.flights.has(flightKey);
+  const leadsFlight = placement.reason.cold && !view.flights.has(flightKey);
   const attempt = exchange.attempt + 1;
   const { work } = exchange;
-  const given = {
+  const prefill = {
     tokens: work === undefined ? 0 : toReadAt(view, placement.server, work),
     waitUs: waitUsOf(view, placement.server),
   };
-  const workedView =
-    work === undefined ? view : withReading(view, placement.server, exchange.rule.service, given.tokens);
-  const triedView = exchange.nextIsExtra ? withTry(workedView, exchange.rule.service, true) : workedView;
-  const deliveredView = withExchange(withPressure(triedView, placement.server, 1), {
+  const queuedView =
+    work === undefined ? view : withReading(view, placement.server, exchange.rule.service, prefill.tokens);
+  const countedView = exchange.nextIsExtra ? withTry(queuedView, exchange.rule.service, true) : queuedView;
+  const deliveredView = withExchange(withPressure(countedView, placement.server, 1), {
     ...exchange,
     attempt,
     server: placement.server,
     tried: [...exchange.tried, placement.server],
     deliveredUs: view.atUs,
     sent: false,
-    given,
-    leads: leads ? flightKey : undefined,
+    given: prefill,
+    leads: leadsFlight ? flightKey : undefined,
   });
   const pacedView =
     placement.slot === undefined
@@ -71,20 +71,23 @@
     ...(work === undefined
       ? {}
       : {
-          tokens: given.tokens,
-          busyUs: waitUsOf(workedView, placement.server),
-          urgency: urgencyOf(view, exchange, given.tokens),
+          tokens: prefill.tokens,
+          busyUs: waitUsOf(queuedView, placement.server),
+          urgency: urgencyOf(view, exchange, prefill.tokens),
         }),
   };
   return stepped(
-    leads ? withFlight(pacedView, flightKey, { leader: exchange.exchange, followers: [] }) : pacedView,
+    leadsFlight ? withFlight(pacedView, flightKey, { leader: exchange.exchange, followers: [] }) : pacedView,
     decision,
   );
 };
 
-/** Sends an exchange on its way: to a server, behind a prefill, or back with an error. */
-export const direct = (view: DecisionView, exchangeName: string): DecisionStep => {
-  const exchange = view.exchanges.get(exchangeName);
+/**
+ * Decides what happens next to an exchange: send it to a server, hold it behind a prefill of its prefix, or end it with an
+ * error. Does nothing for an exchange that has a server or is held.
+ */
+export const direct = (view: DecisionView, id: string): DecisionStep => {
+  const exchange = view.exchanges.get(id);
   if (exchange === undefined || exchange.server !== undefined || exchange.follows !== undefined) return still(view);
   if (exchange.sends >= (exchange.rule.mostTries ?? Number.POSITIVE_INFINITY))
     return giveUp(view, exchange, 'outcome-unknown');
@@ -93,8 +96,8 @@
   if (exchange.nextIsExtra && !hasRetryAllowance(view, exchange.rule.service))
     return giveUp(view, exchange, 'outcome-unknown');
   const flight = view.flights.get(flightKeyOf(placement.server, exchange.prefix));
-  const mayWait = view.policy.singleFlight && (exchange.holdUntilUs === undefined || view.atUs < exchange.holdUntilUs);
-  return placement.reason.cold && flight !== undefined && mayWait
-    ? held(view, exchange, placement, flight.leader)
-    : delivered(view, exchange, placement);
+  const canHold = view.policy.singleFlight && (exchange.holdUntilUs === undefined || view.atUs < exchange.holdUntilUs);
+  return placement.reason.cold && flight !== undefined && canHold
+    ? hold(view, exchange, placement, flight.leader)
+    : deliver(view, exchange, placement);
 };
--- a/src/decision/machine/step/first-of.ts
+++ b/src/decision/machine/step/first-of.ts
@@ -1,23 +1,23 @@
 import type { ServerKey } from '../../../servers/list/server-key.js';
 
-/** The first server that is wished for; walks no further than that. */
+/** The first server that matches; iterates no further than that. */
 export const firstOf = (
   servers: Iterable<ServerKey>,
-  isWished: (server: ServerKey) => boolean,
+  isMatch: (server: ServerKey) => boolean,
 ): ServerKey | undefined => {
-  for (const server of servers) if (isWished(server)) return server;
+  for (const server of servers) if (isMatch(server)) return server;
   return undefined;
 };
 
-/** The usable server under the least pressure, the first of several. */
+/** The usable server with the least cost; the first of them on a tie. */
 export const calmestOf = (
   servers: Iterable<ServerKey>,
   isUsable: (server: ServerKey) => boolean,
-  pressureOf: (server: ServerKey) => number,
+  costOf: (server: ServerKey) => number,
 ): ServerKey | undefined => {
-  let calmestServer: ServerKey | undefined;
+  let cheapestServer: ServerKey | undefined;
   for (const server of servers)
-    if (isUsable(server) && (calmestServer === undefined || pressureOf(server) < pressureOf(calmestServer)))
-      calmestServer = server;
-  return calmestServer;
+    if (isUsable(server) && (cheapestServer === undefined || costOf(server) < costOf(cheapestServer)))
+      cheapestServer = server;
+  return cheapestServer;
 };
--- a/src/decision/machine/step/flights.ts
+++ b/src/decision/machine/step/flights.ts
@@ -8,7 +8,7 @@
   flights: view.flights.set(flightKey, flight),
 });
 
-/** Takes an exchange out of the flight that it follows. */
+/** Removes an exchange from the flight that it follows; it keeps its place in the view. */
 export const unfollowed = (view: DecisionView, exchange: ExchangeView): DecisionView => {
   if (exchange.follows === undefined) return view;
   const flight = view.flights.get(exchange.follows);
@@ -21,7 +21,7 @@
       });
 };
 
-/** Ends the flight that an exchange leads, and names those that waited for it. */
+/** Ends the flight that an exchange leads, if any; returns the followers, which are no longer held. */
 export const landed = (
   view: DecisionView,
   exchange: ExchangeView,
@@ -32,11 +32,9 @@
     ...withExchange(view, { ...exchange, leads: undefined }),
     flights: view.flights.delete(exchange.leads),
   };
-  const freedView = flight.followers.reduce((reachedView, follower) => {
-    const followerView = reachedView.exchanges.get(follower);
-    return followerView === undefined
-      ? reachedView
-      : withExchange(reachedView, { ...followerView, follows: undefined });
+  const freedView = flight.followers.reduce((previousView, id) => {
+    const follower = previousView.exchanges.get(id);
+    return follower === undefined ? previousView : withExchange(previousView, { ...follower, follows: undefined });
   }, endedView);
   return { view: freedView, followers: flight.followers };
 };
--- a/src/decision/machine/step/on-tick.ts
+++ b/src/decision/machine/step/on-tick.ts
@@ -9,21 +9,23 @@
 import { direct } from './direct.js';
 import { tooSlowUsOf, wakeUsOf } from './wake.js';
 
-const pastBudget = (view: DecisionView, exchange: ExchangeView): DecisionStep => {
-  const landing = landed(view, exchange);
-  const landedExchange = landing.view.exchanges.get(exchange.exchange) ?? exchange;
+/** Ends an exchange whose time budget has passed. */
+const expire = (view: DecisionView, exchange: ExchangeView): DecisionStep => {
+  const ended = landed(view, exchange);
+  const expiredExchange = ended.view.exchanges.get(exchange.exchange) ?? exchange;
   const cancelStep =
     exchange.server === undefined
-      ? still(landing.view)
-      : stepped(landing.view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt });
+      ? still(ended.view)
+      : stepped(ended.view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt });
   return overAll(
-    andThen(cancelStep, (cancelledView) => giveUp(cancelledView, landedExchange, 'budget-passed')),
-    landing.followers,
+    andThen(cancelStep, (cancelledView) => giveUp(cancelledView, expiredExchange, 'budget-passed')),
+    ended.followers,
     direct,
   );
 };
 
-const movedOn = (view: DecisionView, exchange: ExchangeView): DecisionStep =>
+/** Cancels an attempt without a first piece in time, and handles it as failed. */
+const failSlowAttempt = (view: DecisionView, exchange: ExchangeView): DecisionStep =>
   andThen(stepped(view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt }), (cancelledView) =>
     onFailed(cancelledView, {
       type: 'failed',
@@ -36,28 +38,31 @@
     }),
   );
 
-const onExchangeTick = (view: DecisionView, exchangeName: string): DecisionStep => {
-  const exchange = view.exchanges.get(exchangeName);
+const onExchangeTick = (view: DecisionView, id: string): DecisionStep => {
+  const exchange = view.exchanges.get(id);
   if (exchange === undefined) return still(view);
-  if (view.atUs >= exchange.dueUs) return pastBudget(view, exchange);
+  if (view.atUs >= exchange.dueUs) return expire(view, exchange);
   if (exchange.follows !== undefined && view.atUs >= (exchange.holdUntilUs ?? exchange.dueUs))
-    return direct(unfollowed(view, exchange), exchangeName);
-  return view.atUs >= tooSlowUsOf(exchange) ? movedOn(view, exchange) : still(view);
+    return direct(unfollowed(view, exchange), id);
+  return view.atUs >= tooSlowUsOf(exchange) ? failSlowAttempt(view, exchange) : still(view);
 };
 
-/** Lets time pass: stages, waits, budgets and slow servers. Looks through the exchanges only once one may have something to do. */
+/**
+ * Handles the passage of time: changes of the topology, holds and budgets that end, and slow servers. Visits the exchanges
+ * only when the earliest deadline among them has passed.
+ */
 export const onTick = (view: DecisionView): DecisionStep => {
-  const staged = platformUsOf(view) >= view.stage.nextChangeUs ? restage(view) : still(view);
-  if (view.atUs < view.wakeUs) return staged;
-  const wokenExchanges = [...view.exchanges.values()].filter((exchange) => view.atUs >= wakeUsOf(exchange));
-  const woken = overAll(
-    staged,
-    wokenExchanges.map((exchange) => exchange.exchange),
+  const updated = platformUsOf(view) >= view.stage.nextChangeUs ? restage(view) : still(view);
+  if (view.atUs < view.wakeUs) return updated;
+  const dueExchanges = [...view.exchanges.values()].filter((exchange) => view.atUs >= wakeUsOf(exchange));
+  const ticked = overAll(
+    updated,
+    dueExchanges.map((exchange) => exchange.exchange),
     onExchangeTick,
   );
-  const wakeUs = woken.view.exchanges.reduce(
-    (least, exchange) => Math.min(least, wakeUsOf(exchange)),
+  const wakeUs = ticked.view.exchanges.reduce(
+    (earliest, exchange) => Math.min(earliest, wakeUsOf(exchange)),
     Number.POSITIVE_INFINITY,
   );
-  return { view: { ...woken.view, wakeUs }, effects: woken.effects };
+  return { view: { ...ticked.view, wakeUs }, effects: ticked.effects };
 };
--- a/src/decision/machine/step/place.ts
+++ b/src/decision/machine/step/place.ts
@@ -21,24 +21,26 @@
 import { usableIn } from './ring-pressure.js';
 import { isCold } from './warmth.js';
 
-type Wish = {
+/** A server under consideration, and the migration that suggests it, if any. */
+type Choice = {
   readonly server: ServerKey;
   readonly type: ReasonType;
   readonly migration: Migration | undefined;
   readonly range: Range | undefined;
-  readonly takesSlot: boolean;
+  /** Whether a delivery to it uses up a pace slot of the range. */
+  readonly usesSlot: boolean;
 };
 
 const rangeIn = (migration: Migration, exchange: ExchangeView): Range | undefined =>
   rangeAt(migration.ranges, exchange.position);
 
-const pacersOf = (view: DecisionView): number => {
+const pacingRoutersOf = (view: DecisionView): number => {
   const routers = routersOf(view);
   return Number.isFinite(routers) ? routers : 1;
 };
 
-/** The node's own part of the fleet's pace for one range. */
-const spanOf = (view: DecisionView, migration: Migration): number => migration.warmup.paceUs * pacersOf(view);
+/** Time between two slots of this node in one range: the routers share the fleet's pace equally. */
+const slotUsOf = (view: DecisionView, migration: Migration): number => migration.warmup.paceUs * pacingRoutersOf(view);
 
 const isUsable = (view: DecisionView, stage: ServiceStage, exchange: ExchangeView, server: ServerKey): boolean =>
   stage.allowed.has(server) && !view.dark.has(server) && !exchange.tried.includes(server);
@@ -47,17 +49,17 @@
   view.flights.has(flightKeyOf(server, exchange.prefix));
 
 /**
- * Whether the range's slot is free. Each node's first slot lies a part of a slot behind the migration's
- * beginning, by the node's own name, so that nodes do not all send the hottest opening at one moment.
+ * Whether the pace admits a cold prefill in the range now. Each node's slots start at an offset that is derived from its
+ * name, so that the nodes don't all send the hottest prefix at the same time.
  */
-const hasPace = (view: DecisionView, migration: Migration, range: Range, beginUs: Micros): boolean =>
+const isAdmittedByPace = (view: DecisionView, migration: Migration, range: Range, beginUs: Micros): boolean =>
   !view.policy.pace ||
-  (platformUsOf(view) >= beginUs + view.phase * spanOf(view, migration) &&
+  (platformUsOf(view) >= beginUs + view.phase * slotUsOf(view, migration) &&
     paceAllows(view.pace, paceKeyOf(range.to, range), view.atUs));
 
-/** Whether the schedule has come to this opening: one rank further with every slot of the range. */
+/** Whether the warm-up schedule has reached the prefix: every slot of the range admits one more rank. */
 const isScheduled = (view: DecisionView, exchange: ExchangeView, migration: Migration, range: Range): boolean => {
-  const slot = Math.floor((platformUsOf(view) - migration.fromUs) / spanOf(view, migration) - view.phase);
+  const slot = Math.floor((platformUsOf(view) - migration.fromUs) / slotUsOf(view, migration) - view.phase);
   if (slot < 0) return false;
   const most = Math.min(slot + 1, migration.warmup.prefixesPerRange);
   return (
@@ -66,67 +68,74 @@
   );
 };
 
-const settlingWish = (view: DecisionView, stage: ServiceStage, exchange: ExchangeView, owner: ServerKey): Wish => {
-  const plainWish: Wish = { server: owner, type: 'ring', migration: undefined, range: undefined, takesSlot: false };
-  if (!isCold(view, owner, exchange.prefix)) return plainWish;
-  for (const migration of stage.settling) {
+/** The owner on the ring, or the former owner while the pace does not admit a cold prefix at a new one. */
+const ringChoice = (view: DecisionView, topology: ServiceStage, exchange: ExchangeView, owner: ServerKey): Choice => {
+  const ownerChoice: Choice = { server: owner, type: 'ring', migration: undefined, range: undefined, usesSlot: false };
+  if (!isCold(view, owner, exchange.prefix)) return ownerChoice;
+  for (const migration of topology.settling) {
     const range = rangeIn(migration, exchange);
     if (range?.to !== owner) continue;
-    if (hasFlight(view, exchange, owner)) return { ...plainWish, type: 'settling', migration, range };
-    if (hasPace(view, migration, range, migration.commitUs))
-      return { server: owner, type: 'settling', migration, range, takesSlot: true };
-    if (range.from !== undefined && isUsable(view, stage, exchange, range.from))
-      return { server: range.from, type: 'paced-back', migration, range, takesSlot: false };
+    if (hasFlight(view, exchange, owner)) return { ...ownerChoice, type: 'settling', migration, range };
+    if (isAdmittedByPace(view, migration, range, migration.commitUs))
+      return { server: owner, type: 'settling', migration, range, usesSlot: true };
+    if (range.from !== undefined && isUsable(view, topology, exchange, range.from))
+      return { server: range.from, type: 'paced-back', migration, range, usesSlot: false };
   }
-  return plainWish;
+  return ownerChoice;
 };
 
-const pendingWish = (
+/** The server that a pending migration suggests in place of the owner, if the pace and its pressure admit it. */
+const migrationChoice = (
   view: DecisionView,
-  stage: ServiceStage,
+  topology: ServiceStage,
   exchange: ExchangeView,
   owner: ServerKey,
   bound: number,
-): Wish | undefined => {
+): Choice | undefined => {
   if (!view.policy.bookings) return undefined;
-  for (const migration of stage.pending) {
+  for (const migration of topology.pending) {
     const range = rangeIn(migration, exchange);
-    if (range === undefined || !isUsable(view, stage, exchange, range.to)) continue;
-    if (range.from !== owner && !(migration.type === 'join' && stage.joining.some((server) => server === range.from)))
+    if (range === undefined || !isUsable(view, topology, exchange, range.to)) continue;
+    if (
+      range.from !== owner &&
+      !(migration.type === 'join' && topology.joining.some((server) => server === range.from))
+    )
       continue;
     if ((view.pressure.get(range.to) ?? 0) >= bound) continue;
     const cold = isCold(view, range.to, exchange.prefix);
     if (migration.type === 'join') {
-      const isDue = cold && !hasFlight(view, exchange, range.to) && hasPace(view, migration, range, migration.fromUs);
+      const isDue =
+        cold && !hasFlight(view, exchange, range.to) && isAdmittedByPace(view, migration, range, migration.fromUs);
       if (isDue && isScheduled(view, exchange, migration, range))
-        return { server: range.to, type: 'warm-up', migration, range, takesSlot: true };
+        return { server: range.to, type: 'warm-up', migration, range, usesSlot: true };
       continue;
     }
-    if (!cold) return { server: range.to, type: 'handing-over', migration, range, takesSlot: false };
-    if (!hasFlight(view, exchange, range.to) && hasPace(view, migration, range, migration.fromUs))
-      return { server: range.to, type: 'handing-over', migration, range, takesSlot: true };
+    if (!cold) return { server: range.to, type: 'handing-over', migration, range, usesSlot: false };
+    if (!hasFlight(view, exchange, range.to) && isAdmittedByPace(view, migration, range, migration.fromUs))
+      return { server: range.to, type: 'handing-over', migration, range, usesSlot: true };
   }
   return undefined;
 };
 
-const pressureBoundOf = (view: DecisionView, stage: ServiceStage, exchange: ExchangeView): number => {
-  const figures = view.record?.setup.pressure;
-  const usable = usableIn(view, stage, exchange);
-  if (figures === undefined || usable.count === 0) return 1;
-  return Math.max(figures.floor, Math.ceil((figures.factor * (usable.pressure + 1)) / usable.count));
+/** The pressure from which a server spills: a factor times the mean over the usable servers, but at least the floor. */
+const pressureBoundOf = (view: DecisionView, topology: ServiceStage, exchange: ExchangeView): number => {
+  const limits = view.record?.setup.pressure;
+  const usable = usableIn(view, topology, exchange);
+  if (limits === undefined || usable.count === 0) return 1;
+  return Math.max(limits.floor, Math.ceil((limits.factor * (usable.pressure + 1)) / usable.count));
 };
 
-/** When an exchange would get its first piece from a server, counted from now. */
-const readyUsAt = (view: DecisionView, exchange: ExchangeView, work: Work, server: ServerKey): Micros =>
+/** Estimated time until a server delivers the first piece of an exchange. */
+const firstPieceUsAt = (view: DecisionView, exchange: ExchangeView, work: Work, server: ServerKey): Micros =>
   waitUsOf(view, server) + readUsOf(view, exchange.rule.service, toReadAt(view, server, work));
 
-/** An owner that would take less of the time up to the target than this keeps what is its own: elsewhere it is read anew. */
-const ownerPart = 0.8;
-/** Another server has to be sooner by so much, since it reads anew what the owner may hold. */
-const leastGainUs: Micros = 50_000;
+/** An owner that needs at most this fraction of the time left to the target keeps the exchange: others prefill it again. */
+const ownerTargetFraction = 0.8;
+/** Minimum gain of another server, since it prefills what the owner may have cached. */
+const minGainUs: Micros = 50_000;
 
-/** A server where the first piece would come clearly sooner, for an exchange that would miss its target at its owner. */
-const quicker = (
+/** The server with the clearly earliest first piece, for an exchange that would miss its latency target at its owner. */
+const fasterServerOf = (
   view: DecisionView,
   exchange: ExchangeView,
   owner: ServerKey,
@@ -134,108 +143,111 @@
 ): ServerKey | undefined => {
   const { work, rule } = exchange;
   if (work === undefined || rule.targetUs === undefined || !view.policy.quickerServer) return undefined;
-  const ownerUs = readyUsAt(view, exchange, work, owner);
-  if (ownerUs <= ownerPart * (exchange.arrivedUs + rule.targetUs - view.atUs)) return undefined;
+  const ownerUs = firstPieceUsAt(view, exchange, work, owner);
+  if (ownerUs <= ownerTargetFraction * (exchange.arrivedUs + rule.targetUs - view.atUs)) return undefined;
   const best = calmestOf(
     candidates,
     () => true,
-    (server) => readyUsAt(view, exchange, work, server),
+    (server) => firstPieceUsAt(view, exchange, work, server),
   );
   const leftUs = exchange.arrivedUs + rule.targetUs - view.atUs;
   if (best === undefined || best === owner) return undefined;
-  const bestUs = readyUsAt(view, exchange, work, best);
-  return bestUs + leastGainUs < ownerUs && bestUs < leftUs ? best : undefined;
+  const bestUs = firstPieceUsAt(view, exchange, work, best);
+  return bestUs + minGainUs < ownerUs && bestUs < leftUs ? best : undefined;
 };
 
 const ringRangeOf = (ring: Ring, exchange: ExchangeView): Reason['range'] => {
-  const ownIndex = vnodeIndexAt(ring, exchange.position);
-  const ownVnode = ring.vnodes[ownIndex];
-  const previousVnode = ring.vnodes[(ownIndex + ring.vnodes.length - 1) % Math.max(1, ring.vnodes.length)];
-  return ownVnode === undefined || previousVnode === undefined
+  const index = vnodeIndexAt(ring, exchange.position);
+  const vnode = ring.vnodes[index];
+  const previousVnode = ring.vnodes[(index + ring.vnodes.length - 1) % Math.max(1, ring.vnodes.length)];
+  return vnode === undefined || previousVnode === undefined
     ? undefined
-    : { after: previousVnode.position, upTo: ownVnode.position };
+    : { after: previousVnode.position, upTo: vnode.position };
 };
 
-/** Chooses the server for an exchange by the ring, its migrations, the pace and the pressure. */
+/**
+ * Chooses the server for an exchange by the ring, its migrations, the pace, and the health and pressure of the servers.
+ * Undefined if no server of the service is usable.
+ */
 export const place = (view: DecisionView, exchange: ExchangeView): Placement | undefined => {
-  const stage = view.stage.services.get(exchange.rule.service);
-  if (stage === undefined) return undefined;
-  const owners = ownersAt(stage, exchange.position);
-  const avoided = view.policy.failures
-    ? avoidedAmong(view.failures, ringOwners(stage.ring), view.atUs)
+  const topology = view.stage.services.get(exchange.rule.service);
+  if (topology === undefined) return undefined;
+  const owners = ownersAt(topology, exchange.position);
+  const ejected = view.policy.failures
+    ? avoidedAmong(view.failures, ringOwners(topology.ring), view.atUs)
     : new Set<ServerKey>();
-  const hasRoom = (server: ServerKey): boolean => !view.policy.loads || !isCrowded(view.loads, server, view.atUs);
-  const isSound = (server: ServerKey): boolean => !avoided.has(server) && hasRoom(server);
-  const firstUsable = (isWished: (server: ServerKey) => boolean): ServerKey | undefined =>
-    firstOf(owners.all(), (server) => isUsable(view, stage, exchange, server) && isWished(server));
-  const bound = pressureBoundOf(view, stage, exchange);
+  const hasCapacity = (server: ServerKey): boolean => !view.policy.loads || !isCrowded(view.loads, server, view.atUs);
+  const isHealthy = (server: ServerKey): boolean => !ejected.has(server) && hasCapacity(server);
+  const firstUsable = (isMatch: (server: ServerKey) => boolean): ServerKey | undefined =>
+    firstOf(owners.all(), (server) => isUsable(view, topology, exchange, server) && isMatch(server));
+  const bound = pressureBoundOf(view, topology, exchange);
   const pressureOf = (server: ServerKey): number => view.pressure.get(server) ?? 0;
-  const placed = (wish: Wish): Placement => ({
-    server: wish.server,
+  const placementOf = (choice: Choice): Placement => ({
+    server: choice.server,
     slot:
-      wish.takesSlot && wish.migration !== undefined && wish.range !== undefined
-        ? { paceKey: paceKeyOf(wish.range.to, wish.range), spanUs: spanOf(view, wish.migration) }
+      choice.usesSlot && choice.migration !== undefined && choice.range !== undefined
+        ? { paceKey: paceKeyOf(choice.range.to, choice.range), spanUs: slotUsOf(view, choice.migration) }
         : undefined,
     reason: {
-      type: wish.type,
+      type: choice.type,
       kind: exchange.rule.kind,
       tier: exchange.rule.tier,
       service: exchange.rule.service,
       position: exchange.position,
       range:
-        wish.range === undefined
-          ? ringRangeOf(stage.ring, exchange)
-          : { after: wish.range.after, upTo: wish.range.upTo },
+        choice.range === undefined
+          ? ringRangeOf(topology.ring, exchange)
+          : { after: choice.range.after, upTo: choice.range.upTo },
       owners: owners.first.slice(0, 4),
-      migration: wish.migration?.name,
-      commitUs: wish.migration?.commitUs,
-      cold: stage.type === 'model' && isCold(view, wish.server, exchange.prefix),
-      pressure: pressureOf(wish.server),
+      migration: choice.migration?.name,
+      commitUs: choice.migration?.commitUs,
+      cold: topology.type === 'model' && isCold(view, choice.server, exchange.prefix),
+      pressure: pressureOf(choice.server),
       pressureBound: bound,
     },
   });
   const candidates = (): readonly ServerKey[] =>
     owners.first.filter(
-      (server) => isUsable(view, stage, exchange, server) && isSound(server) && pressureOf(server) < bound,
+      (server) => isUsable(view, topology, exchange, server) && isHealthy(server) && pressureOf(server) < bound,
     );
-  const plain = (server: ServerKey, type: ReasonType): Placement =>
-    placed({ server, type, migration: undefined, range: undefined, takesSlot: false });
+  const placementAt = (server: ServerKey, type: ReasonType): Placement =>
+    placementOf({ server, type, migration: undefined, range: undefined, usesSlot: false });
 
   const firstOwner = owners.first[0];
-  const nearestOwner = firstUsable((server) => !avoided.has(server)) ?? firstUsable(() => true);
-  if (firstOwner === undefined || nearestOwner === undefined) {
-    const joiningServer = stage.joining
-      .filter((server) => isUsable(view, stage, exchange, server))
+  const firstUsableOwner = firstUsable((server) => !ejected.has(server)) ?? firstUsable(() => true);
+  if (firstOwner === undefined || firstUsableOwner === undefined) {
+    const joiningServer = topology.joining
+      .filter((server) => isUsable(view, topology, exchange, server))
       .sort((left, right) => pressureOf(left) - pressureOf(right))[0];
-    return joiningServer === undefined ? undefined : plain(joiningServer, 'emergency');
+    return joiningServer === undefined ? undefined : placementAt(joiningServer, 'emergency');
   }
-  if (stage.type === 'web') {
-    const idleServer = firstUsable((server) => pressureOf(server) === 0 && isSound(server));
+  if (topology.type === 'web') {
+    const idleServer = firstUsable((server) => pressureOf(server) === 0 && isHealthy(server));
     const loadOf = (server: ServerKey): number =>
-      Number(avoided.has(server)) + (loadPartOf(view.loads, server, view.atUs) ?? 0) + pressureOf(server);
-    const calmestServer =
+      Number(ejected.has(server)) + (loadPartOf(view.loads, server, view.atUs) ?? 0) + pressureOf(server);
+    const leastLoadedServer =
       idleServer ??
-      calmestOf(owners.all(), (server) => isUsable(view, stage, exchange, server), loadOf) ??
-      nearestOwner;
-    return plain(calmestServer, calmestServer === firstOwner ? 'ring' : 'spill');
+      calmestOf(owners.all(), (server) => isUsable(view, topology, exchange, server), loadOf) ??
+      firstUsableOwner;
+    return placementAt(leastLoadedServer, leastLoadedServer === firstOwner ? 'ring' : 'spill');
   }
-  const migrationWish =
-    nearestOwner === firstOwner && hasRoom(firstOwner)
-      ? pendingWish(view, stage, exchange, firstOwner, bound)
+  const pending =
+    firstUsableOwner === firstOwner && hasCapacity(firstOwner)
+      ? migrationChoice(view, topology, exchange, firstOwner, bound)
       : undefined;
-  if (migrationWish !== undefined) return placed(migrationWish);
-  const ringWish = settlingWish(view, stage, exchange, nearestOwner);
-  const quickerServer = quicker(view, exchange, ringWish.server, candidates());
-  if (quickerServer !== undefined) return plain(quickerServer, 'spill');
-  if (pressureOf(ringWish.server) < bound && hasRoom(ringWish.server)) {
-    const passedOver = avoided.has(firstOwner) ? 'failing-owner' : 'dark-owner';
-    return placed(
-      nearestOwner === firstOwner || ringWish.type !== 'ring' ? ringWish : { ...ringWish, type: passedOver },
+  if (pending !== undefined) return placementOf(pending);
+  const onRing = ringChoice(view, topology, exchange, firstUsableOwner);
+  const fasterServer = fasterServerOf(view, exchange, onRing.server, candidates());
+  if (fasterServer !== undefined) return placementAt(fasterServer, 'spill');
+  if (pressureOf(onRing.server) < bound && hasCapacity(onRing.server)) {
+    const skippedBecause = ejected.has(firstOwner) ? 'failing-owner' : 'dark-owner';
+    return placementOf(
+      firstUsableOwner === firstOwner || onRing.type !== 'ring' ? onRing : { ...onRing, type: skippedBecause },
     );
   }
   const spillServer =
-    firstUsable((server) => pressureOf(server) < bound && isSound(server)) ??
-    firstUsable((server) => pressureOf(server) < bound && !avoided.has(server)) ??
-    nearestOwner;
-  return plain(spillServer, 'spill');
+    firstUsable((server) => pressureOf(server) < bound && isHealthy(server)) ??
+    firstUsable((server) => pressureOf(server) < bound && !ejected.has(server)) ??
+    firstUsableOwner;
+  return placementAt(spillServer, 'spill');
 };
--- a/src/decision/machine/step/restage.ts
+++ b/src/decision/machine/step/restage.ts
@@ -21,14 +21,17 @@
         },
       ];
 
-/** Derives the stage anew from setup, list and time, and tells what changed on the time line. */
+/**
+ * Derives the topology again from configuration, server list and platform time. Decides which joins were booked, have
+ * entered the ring or were withdrawn since, and drops state of servers that are no longer listed.
+ */
 export const restage = (view: DecisionView): DecisionStep => {
   if (view.record === undefined || view.list === undefined) return still(view);
-  const stage = stageAt(view.record, view.list, platformUsOf(view));
-  const pendingJoins = [...stage.services.values()].flatMap((serviceStage) =>
-    serviceStage.pending
+  const nextTopology = stageAt(view.record, view.list, platformUsOf(view));
+  const pendingJoins = [...nextTopology.services.values()].flatMap((serviceTopology) =>
+    serviceTopology.pending
       .filter((migration) => migration.type === 'join')
-      .map((migration) => ({ service: serviceStage.service, migration })),
+      .map((migration) => ({ service: serviceTopology.service, migration })),
   );
   const joining = new Map(
     pendingJoins.flatMap(({ service, migration }) =>
@@ -43,7 +46,7 @@
   const endedDecisions = [...view.joining]
     .filter(([key]) => !joining.has(key))
     .map(([key, { service, entryUs }]): Decision => {
-      const ring = stage.services.get(service)?.ring;
+      const ring = nextTopology.services.get(service)?.ring;
       const isInRing = ring !== undefined && ringOwners(ring).has(key);
       return isInRing
         ? { type: 'entered', server: key, service, entryUs }
@@ -53,9 +56,9 @@
   return {
     view: {
       ...view,
-      stage,
+      stage: nextTopology,
       joining,
-      ringPressure: ringPressureAt(stage, view.pressure),
+      ringPressure: ringPressureAt(nextTopology, view.pressure),
       busy: view.busy.filter((busyUs) => busyUs > view.atUs),
       warmth: view.warmth.filter((_, key) => listedKeys.has(key)),
       dark: new Set([...view.dark].filter((key) => listedKeys.has(key))),
--- a/src/decision/machine/step/retry-allowance.ts
+++ b/src/decision/machine/step/retry-allowance.ts
@@ -2,7 +2,7 @@
 import { triesAfter, windowUs } from '../../retry/tries.js';
 import { routersOf, type DecisionView } from '../view/decision-view.js';
 
-/** Whether this node may make one more extra try to a service now. */
+/** Whether the retry budget allows this node one more retry to a service now. */
 export const hasRetryAllowance = (view: DecisionView, service: string): boolean => {
   const setup = view.record?.setup;
   if (setup === undefined || view.startedUs === undefined) return false;
@@ -13,7 +13,10 @@
   });
 };
 
-/** Counts a try: a first one when it is sent, an extra one when it is decided, or many that fail at once would all pass. */
+/**
+ * Counts an attempt: a first attempt when it is sent, a retry already when it is decided; otherwise many attempts that
+ * fail at the same time would all pass the budget.
+ */
 export const withTry = (view: DecisionView, service: string, isExtra: boolean): DecisionView => ({
   ...view,
   tries: view.tries.set(service, triesAfter(view.tries.get(service) ?? [], view.atUs, isExtra)),
--- a/src/decision/machine/step/ring-pressure.ts
+++ b/src/decision/machine/step/ring-pressure.ts
@@ -7,16 +7,16 @@
 
 type RingPressure = DecisionView['ringPressure'];
 
-/** The sums, counted anew for a new stage. */
-export const ringPressureAt = (stage: Stage, pressure: DecisionView['pressure']): RingPressure =>
+/** The pressure on each service's ring, summed over all its servers. */
+export const ringPressureAt = (topology: Stage, pressure: DecisionView['pressure']): RingPressure =>
   new Map(
-    [...stage.services.values()].map((serviceStage) => [
-      serviceStage.service,
-      [...ringOwners(serviceStage.ring)].reduce((sum, owner) => sum + (pressure.get(owner) ?? 0), 0),
+    [...topology.services.values()].map((serviceTopology) => [
+      serviceTopology.service,
+      [...ringOwners(serviceTopology.ring)].reduce((sum, owner) => sum + (pressure.get(owner) ?? 0), 0),
     ]),
   );
 
-/** The sums after a server's pressure has changed. */
+/** The sums after the pressure on one server has changed by `change`. */
 export const ringPressureAfter = (view: DecisionView, server: ServerKey, change: number): RingPressure =>
   new Map(
     [...view.ringPressure].map(([service, sum]) => {
@@ -25,19 +25,19 @@
     }),
   );
 
-/** How many servers of a ring an exchange can use, and the sum of their pressure. */
+/** The number of servers in the ring that are reachable and untried by the exchange, and the sum of their pressure. */
 export const usableIn = (
   view: DecisionView,
-  stage: ServiceStage,
+  topology: ServiceStage,
   exchange: ExchangeView,
 ): { readonly count: number; readonly pressure: number } => {
-  const owners = ringOwners(stage.ring);
+  const owners = ringOwners(topology.ring);
   const unusableOwners = [...new Set([...view.dark, ...exchange.tried])].filter((server) => owners.has(server));
   return {
     count: owners.size - unusableOwners.length,
     pressure: unusableOwners.reduce(
       (sum, server) => sum - (view.pressure.get(server) ?? 0),
-      view.ringPressure.get(stage.service) ?? 0,
+      view.ringPressure.get(topology.service) ?? 0,
     ),
   };
 };
--- a/src/decision/machine/step/step.ts
+++ b/src/decision/machine/step/step.ts
@@ -53,7 +53,7 @@
     case 'dark':
       return still({ ...view, dark: new Set([...view.dark, event.server]) });
     case 'light':
-      return still({ ...view, dark: new Set([...view.dark].filter((key) => key !== event.server)) });
+      return still({ ...view, dark: new Set([...view.dark].filter((server) => server !== event.server)) });
     case 'tick':
       return onTick(view);
     case 'drain':
@@ -61,7 +61,10 @@
   }
 };
 
-/** The decision machine: one event in, a new view and its decisions out; no clock, no chance, no I/O. */
+/**
+ * The decision machine as a pure function: no clock, no randomness, no I/O. Equal views and events give equal decisions,
+ * so a trace of events can be replayed.
+ */
 export const stepDecision = (view: DecisionView, event: DecisionEvent): DecisionStep => {
   const nowView: DecisionView = {
     ...view,
@@ -70,9 +73,9 @@
     platform: event.type === 'gap' ? withoutSpan(view.platform, event.spanUs) : view.platform,
   };
   if (event.type !== 'tick' && platformUsOf(nowView) >= nowView.stage.nextChangeUs) {
-    const staged = restage(nowView);
-    const step = onEvent(staged.view, event);
-    return { view: step.view, effects: [...staged.effects, ...step.effects] };
+    const updated = restage(nowView);
+    const step = onEvent(updated.view, event);
+    return { view: step.view, effects: [...updated.effects, ...step.effects] };
   }
   return onEvent(nowView, event);
 };
--- a/src/decision/machine/step/wake.ts
+++ b/src/decision/machine/step/wake.ts
@@ -1,13 +1,13 @@
 import type { Micros } from '../../../common/micros.js';
 import type { ExchangeView } from '../view/exchange-view.js';
 
-/** When a server that has not begun to answer becomes too slow for a repeatable exchange. */
+/** When a repeatable exchange is retried elsewhere unless its first piece has arrived; infinite if that does not apply. */
 export const tooSlowUsOf = (exchange: ExchangeView): Micros =>
   exchange.server !== undefined && exchange.rule.repeatable && !exchange.started
     ? exchange.deliveredUs + exchange.rule.firstPieceUs
     : Number.POSITIVE_INFINITY;
 
-/** When an exchange's next wait or budget ends. */
+/** The earliest deadline of an exchange: budget, hold or first piece. */
 export const wakeUsOf = (exchange: ExchangeView): Micros =>
   Math.min(
     exchange.dueUs,
--- a/src/decision/machine/step/warmth.ts
+++ b/src/decision/machine/step/warmth.ts
@@ -5,22 +5,23 @@
 import type { Prefix } from '../../ring/prefix.js';
 import type { DecisionView } from '../view/decision-view.js';
 
-const mostPrefixes = 8192;
+const maxPrefixesPerServer = 8192;
 
-/** Whether this node has no fresh sign that a server has read an opening. */
+/** Whether this node has no recent evidence that the server's cache holds a prefix. */
 export const isCold = (view: DecisionView, server: ServerKey, prefix: Prefix): boolean => {
-  const servedUs = view.warmth.get(server)?.get(prefix);
+  const prefilledUs = view.warmth.get(server)?.get(prefix);
   const staleUs = view.record?.setup.warmup.staleUs ?? 0;
-  return servedUs === undefined || servedUs + staleUs <= view.atUs;
+  return prefilledUs === undefined || prefilledUs + staleUs <= view.atUs;
 };
 
-/** Makes room for an eighth at once, so that the openings are ranked once for many new ones. */
-const withoutOldest = (prefixes: PersistentMap<Prefix, Micros>): PersistentMap<Prefix, Micros> =>
-  prefixes.deleteAll(leastKeys(prefixes, mostPrefixes / 8, (servedUs) => servedUs));
+/** Evicts an eighth at once, so that one ranking of the prefixes makes room for many new ones. */
+const evictOldest = (prefixes: PersistentMap<Prefix, Micros>): PersistentMap<Prefix, Micros> =>
+  prefixes.deleteAll(leastKeys(prefixes, maxPrefixesPerServer / 8, (prefilledUs) => prefilledUs));
 
+/** Notes that the server has prefilled a prefix now; evicts the oldest entries if its table is full. */
 export const warmed = (view: DecisionView, server: ServerKey, prefix: Prefix): DecisionView => {
-  const knownPrefixes = view.warmth.get(server) ?? emptyMap<Prefix, Micros>();
-  const keptPrefixes =
-    knownPrefixes.size < mostPrefixes || knownPrefixes.has(prefix) ? knownPrefixes : withoutOldest(knownPrefixes);
-  return { ...view, warmth: view.warmth.set(server, keptPrefixes.set(prefix, view.atUs)) };
+  const prefixes = view.warmth.get(server) ?? emptyMap<Prefix, Micros>();
+  const remainingPrefixes =
+    prefixes.size < maxPrefixesPerServer || prefixes.has(prefix) ? prefixes : evictOldest(prefixes);
+  return { ...view, warmth: view.warmth.set(server, remainingPrefixes.set(prefix, view.atUs)) };
 };
--- a/src/decision/machine/view/decision-view.ts
+++ b/src/decision/machine/view/decision-view.ts
@@ -17,39 +17,44 @@
 import type { Busy } from '../../work/busy.js';
 import type { ExchangeView } from './exchange-view.js';
 
-/** The whole view of the decision machine. */
+/** The immutable state of the decision machine: what one router has learned and decided so far. */
 export type DecisionView = {
   readonly atUs: Micros;
   readonly startedUs: Micros | undefined;
-  /** How far this node's slots lie behind the beginning of a migration, in parts of a slot. */
+  /** Offset of this node's pace slots from the beginning of a migration, as a fraction of a slot. */
   readonly phase: number;
-  /** The platform's time as far as it is certain. */
+  /** A lower bound of the platform time. */
   readonly platform: TimeBound | undefined;
   readonly record: SetupRecord | undefined;
-  /** How many routers were counted, by when; the last of each window that is still of concern. */
+  /** Recent counts of the routers in the fleet, with the time until which each holds. */
   readonly counts: RouterCounts;
   readonly list: ServerList | undefined;
   readonly stage: Stage;
+  /** Servers with a booking that have not entered the ring. */
   readonly joining: ReadonlyMap<ServerKey, { readonly service: string; readonly entryUs: Micros }>;
   readonly hotness: Hotness;
+  /** The prefixes that each server has prefilled for this node, and when it last did. */
   readonly warmth: PersistentMap<ServerKey, PersistentMap<Prefix, Micros>>;
   readonly pace: Pace;
   readonly flights: PersistentMap<FlightKey, Flight>;
-  /** In the order in which they came. */
+  /** The exchanges in progress, in order of arrival. */
   readonly exchanges: PersistentMap<string, ExchangeView>;
-  /** No exchange has anything to do by itself before this moment. */
+  /** No exchange has a deadline before this time. */
   readonly wakeUs: Micros;
   readonly busy: Busy;
-  /** Tokens a second that a server of each service has been seen to read. */
+  /** Measured prefill rate by service, in tokens per second and server. */
   readonly rates: PersistentMap<string, number>;
+  /** Number of exchanges that this node has in progress at each server. */
   readonly pressure: PersistentMap<ServerKey, number>;
-  /** The sum of the pressure on the servers in each service's ring. */
+  /** The pressure by service, summed over the servers of its ring. */
   readonly ringPressure: ReadonlyMap<string, number>;
+  /** Servers to which no connection can be opened. */
   readonly dark: ReadonlySet<ServerKey>;
-  /** Failures of servers, here and at other routers. */
+  /** Failure scores from this and other routers. */
   readonly failures: ServerFailures;
-  /** What servers have told of their load, here and to other routers. */
+  /** The latest load reports of the servers, to this and other routers. */
   readonly loads: ServerLoads;
+  /** Recent attempts by service, for the retry budget. */
   readonly tries: PersistentMap<string, Tries>;
   readonly draining: boolean;
   /** Which parts of the decision are on; it never changes. */
@@ -84,10 +89,10 @@
   policy: usualPolicy,
 };
 
-/** The platform's time at this view's moment. */
+/** The lower bound of the platform time at `view.atUs`; the monotonic time itself before any was received. */
 export const platformUsOf = (view: DecisionView): Micros =>
   view.platform === undefined ? view.atUs : boundAt(view.platform, view.atUs);
 
-/** How many routers share what the fleet allows: as the setup says, or as many as were counted; without end before any count. */
+/** The number of routers that share fleet-wide limits: configured, else counted; infinite before the first count. */
 export const routersOf = (view: DecisionView): number =>
   view.record?.setup.fleet?.routers ?? mostCounted(view.counts, view.atUs) ?? Number.POSITIVE_INFINITY;
--- a/src/decision/machine/view/exchange-view.ts
+++ b/src/decision/machine/view/exchange-view.ts
@@ -6,8 +6,12 @@
 import type { Work } from '../../work/work.js';
 import type { Prefix } from '../../ring/prefix.js';
 
-/** One exchange in the machine's view. */
+/**
+ * The state of one exchange: a client's request and its response, over all attempts at servers. At most one attempt runs at
+ * a time.
+ */
 export type ExchangeView = {
+  /** Its id. */
   readonly exchange: string;
   readonly rule: Rule;
   readonly tierPlace: number;
@@ -15,26 +19,32 @@
   readonly position: Position;
   readonly work: Work | undefined;
   readonly arrivedUs: Micros;
-  /** What its server had to read, and how long it would have to wait before that, as far as was known. */
+  /** Estimates for the running attempt: tokens to prefill, and the wait before that at the server. */
   readonly given: { readonly tokens: number; readonly waitUs: Micros };
+  /** The end of the time budget. */
   readonly dueUs: Micros;
+  /** The number of the latest attempt, from 1; 0 before the first. */
   readonly attempt: number;
   readonly tried: readonly ServerKey[];
-  /** The server of the running try; none while held. */
+  /** The server of the running attempt; undefined while held. */
   readonly server: ServerKey | undefined;
   readonly deliveredUs: Micros;
+  /** Whether the running attempt has been sent. */
   readonly sent: boolean;
+  /** Whether any piece has arrived. */
   readonly started: boolean;
-  /** The next piece that the caller is owed. */
+  /** The next piece to deliver to the client. */
   readonly fromPiece: number;
-  /** Whether the next try repeats work that may have begun. */
+  /** Whether the next attempt counts as a retry, since the exchange was sent to a server before. */
   readonly nextIsExtra: boolean;
-  /** Whether any try so far may have run. */
+  /** Whether any attempt so far may have run. */
   readonly mayHaveRun: boolean;
-  /** How many servers it was sent to. */
+  /** The number of servers that it was sent to. */
   readonly sends: number;
+  /** The flight that it leads. */
   readonly leads: FlightKey | undefined;
+  /** The flight that it waits for. */
   readonly follows: FlightKey | undefined;
-  /** When waiting behind a prefill ends; set by the first wait, never moved. */
+  /** The end of holding behind prefills; set by the first hold and never extended. */
   readonly holdUntilUs: Micros | undefined;
 };
--- a/src/decision/retry/tries.ts
+++ b/src/decision/retry/tries.ts
@@ -1,32 +1,35 @@
 import type { Micros } from '../../common/micros.js';
 
-/** The tries of one service in one slice of time. */
+/** The attempts at one service in one slice of time. */
 export type TrySlice = {
   readonly slice: number;
   readonly firsts: number;
   readonly extras: number;
 };
 
-/** A node's tries to one service over the sliding window, in slices. */
+/** A node's attempts at one service over the sliding window, in slices. */
 export type Tries = readonly TrySlice[];
 
+/** Length of one slice of the window. */
 export const sliceUs: Micros = 250_000;
+/** Length of the sliding window of the retry budget. */
 export const windowUs: Micros = 10_000_000;
 
+/** Counts one attempt, and drops slices that have left the window. */
 export const triesAfter = (tries: Tries, atUs: Micros, isExtra: boolean): Tries => {
   const slice = Math.floor(atUs / sliceUs);
-  const lastTries = tries[tries.length - 1];
-  if (lastTries?.slice === slice)
+  const lastSlice = tries[tries.length - 1];
+  if (lastSlice?.slice === slice)
     return [
       ...tries.slice(0, -1),
-      { slice, firsts: lastTries.firsts + (isExtra ? 0 : 1), extras: lastTries.extras + (isExtra ? 1 : 0) },
+      { slice, firsts: lastSlice.firsts + (isExtra ? 0 : 1), extras: lastSlice.extras + (isExtra ? 1 : 0) },
     ];
-  const keptTries = tries.filter(
-    (trySlice) => trySlice.slice > slice - windowUs / sliceUs - 1 && trySlice.slice !== slice,
+  const recentSlices = tries.filter(
+    (attemptSlice) => attemptSlice.slice > slice - windowUs / sliceUs - 1 && attemptSlice.slice !== slice,
   );
-  const sameSlice = tries.find((trySlice) => trySlice.slice === slice) ?? { slice, firsts: 0, extras: 0 };
+  const existing = tries.find((attemptSlice) => attemptSlice.slice === slice) ?? { slice, firsts: 0, extras: 0 };
   return [
-    ...keptTries,
-    { slice, firsts: sameSlice.firsts + (isExtra ? 0 : 1), extras: sameSlice.extras + (isExtra ? 1 : 0) },
+    ...recentSlices,
+    { slice, firsts: existing.firsts + (isExtra ? 0 : 1), extras: existing.extras + (isExtra ? 1 : 0) },
   ];
 };
--- a/src/decision/ring/across-localities.ts
+++ b/src/decision/ring/across-localities.ts
@@ -1,7 +1,7 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 import { ownersInTurn } from './owners-in-turn.js';
 
-/** How many servers each locality has. */
+/** The number of servers in each locality. */
 export const sizesOf = (
   owners: Iterable<ServerKey>,
   localityOf: (owner: ServerKey) => string,
@@ -11,7 +11,7 @@
   return sizes;
 };
 
-/** All owners at once, in the order of `ownersInTurn`. */
+/** All owners in the order of `interleaveByLocality`. */
 export const acrossLocalities = (
   owners: readonly ServerKey[],
   localityOf: (owner: ServerKey) => string,
--- a/src/decision/ring/owners-in-turn.ts
+++ b/src/decision/ring/owners-in-turn.ts
@@ -1,14 +1,15 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 
-/** Locality and number of its servers. */
+/** The number of servers in each locality. */
 export type LocalitySizes = ReadonlyMap<string, number>;
 
-type Turn = { readonly waiting: { readonly owner: ServerKey; readonly met: number }[]; left: number; count: number };
+/** The owners of one locality: walked but not yielded (`waiting`), number left to yield, and number yielded (`count`). */
+type Turn = { readonly waiting: { readonly owner: ServerKey; readonly order: number }[]; left: number; count: number };
 
 /**
- * The owners of a position in the order in which work falls back on them: the ring's own first, then always the next on
- * the ring of the locality that has come least often so far. One lost locality thus never takes an opening's next owners
- * all at once, wherever servers stand in more than one. Walks the ring only as far as it is asked for owners.
+ * Yields the owners of a position in failover order: the first owner on the ring, then always the next on the ring from
+ * the locality with the fewest owners so far. The loss of one locality thus never takes out all the next owners of a
+ * prefix, unless all servers are in one. Walks the ring only as far as the consumer asks.
  */
 export function* ownersInTurn(
   walkedOwners: Iterable<ServerKey>,
@@ -19,22 +20,22 @@
     [...sizes].map(([locality, size]) => [locality, { waiting: [], left: size, count: 0 }]),
   );
   const walk = walkedOwners[Symbol.iterator]();
-  let metCount = 0;
-  const walkOn = (): boolean => {
+  let walkedCount = 0;
+  const walkNext = (): boolean => {
     const next = walk.next();
     if (next.done === true) return false;
-    turns.get(localityOf(next.value))?.waiting.push({ owner: next.value, met: metCount });
-    metCount += 1;
+    turns.get(localityOf(next.value))?.waiting.push({ owner: next.value, order: walkedCount });
+    walkedCount += 1;
     return true;
   };
   for (;;) {
-    const openTurns = [...turns.values()].filter((turn) => turn.left > 0);
-    const leastCount = openTurns.reduce((least, turn) => Math.min(least, turn.count), Number.POSITIVE_INFINITY);
-    const nextTurns = openTurns.filter((turn) => turn.count === leastCount);
+    const unfinishedTurns = [...turns.values()].filter((turn) => turn.left > 0);
+    const minCount = unfinishedTurns.reduce((least, turn) => Math.min(least, turn.count), Number.POSITIVE_INFINITY);
+    const nextTurns = unfinishedTurns.filter((turn) => turn.count === minCount);
     if (nextTurns.length === 0) return;
-    while (nextTurns.every((turn) => turn.waiting.length === 0)) if (!walkOn()) return;
+    while (nextTurns.every((turn) => turn.waiting.length === 0)) if (!walkNext()) return;
     const nextTurn = nextTurns.reduce((first, turn) =>
-      (turn.waiting[0]?.met ?? Number.POSITIVE_INFINITY) < (first.waiting[0]?.met ?? Number.POSITIVE_INFINITY)
+      (turn.waiting[0]?.order ?? Number.POSITIVE_INFINITY) < (first.waiting[0]?.order ?? Number.POSITIVE_INFINITY)
         ? turn
         : first,
     );
--- a/src/decision/ring/range.ts
+++ b/src/decision/ring/range.ts
@@ -1,7 +1,7 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Position } from './position.js';
 
-/** An arc of the ring that changes its owner; it holds the positions after `after` up to `upTo`. */
+/** An arc of the ring that changes its owner: the positions after `after`, up to and including `upTo`, around the ring. */
 export type Range = {
   readonly after: Position;
   readonly upTo: Position;
@@ -14,7 +14,7 @@
     ? position > range.after && position <= range.upTo
     : position > range.after || position <= range.upTo;
 
-/** The range that holds a position, among ranges that do not overlap and stand in the order of their ends. */
+/** The range that contains a position, by binary search; `ranges` must not overlap and must be sorted by `upTo`. */
 export const rangeAt = (ranges: readonly Range[], position: Position): Range | undefined => {
   let lowIndex = 0;
   let highIndex = ranges.length;
--- a/src/decision/timeline/bookings.ts
+++ b/src/decision/timeline/bookings.ts
@@ -6,25 +6,25 @@
 import type { Warmup } from '../../setup/document/warmup.js';
 import type { Booking } from './booking.js';
 
-/** When what a server remembers began: its first listing, or its last change of weights. */
+/** When the server's prefix cache was last empty: its first listing, or its last change of model weights. */
 export const sinceOf = (server: ListedServer): Micros => Math.max(server.listedAtUs, server.weightsAtUs ?? 0);
 
-/** The figures that were in force on the time line at a moment. */
+/** The warm-up settings in force at a platform time. */
 export const warmupAt = (record: SetupRecord, atUs: Micros): Warmup =>
   record.epochs.findLast((epoch) => epoch.sinceUs <= atUs)?.warmup ?? record.epochs[0]?.warmup ?? record.setup.warmup;
 
-/** How long a booking lasts: every range's slots, or the bound if that is less. */
+/** How long a warm-up takes: the slots of each range, at most the configured bound. */
 export const lengthOf = (warmup: Warmup): Micros => Math.min(warmup.boundUs, warmup.prefixesPerRange * warmup.paceUs);
 
 const byListing = (left: ListedServer, right: ListedServer): number =>
   sinceOf(left) - sinceOf(right) || (left.id < right.id ? -1 : 1);
 
 /**
- * Every booking of one service, a pure function of setup and list. Bookings stand in the order of their
- * first listing, and of id where that is the same, so a later listing never moves an entry moment.
- * Overlapping bookings end one after another, each no later than its own bound. Those that are listed within one
- * booking's length of the first open the ring at once, since there is nothing warm yet to protect. When any server is
- * taken off the list, the first listing can only become later, so an entry that has passed never comes undone.
+ * Every booking of one service, a pure function of configuration and server list. Bookings are ordered by first listing
+ * and then by id, so a later listing never moves an entry moment. Overlapping bookings end one after another, each no later
+ * than its own bound. Servers listed within one warm-up length of the first enter the ring at once, since there is no warm
+ * cache yet to protect. Removing a server from the list can only make the first listing later, so an entry moment that has
+ * passed is never revoked.
  */
 export const bookingsOf = (
   record: SetupRecord,
--- a/src/decision/work/busy.ts
+++ b/src/decision/work/busy.ts
@@ -6,27 +6,33 @@
 import { isCold } from '../machine/step/warmth.js';
 import type { Work } from './work.js';
 
-/** Until when each server reads what it was given, as far as this node knows: its own exchanges and those it was told of. */
+/** Estimated time at which each server finishes its queued prefills: those of this node, and those that others announced. */
 export type Busy = PersistentMap<ServerKey, Micros>;
 
-/** Tokens that a server reads in a second until the service's own rate has been seen. */
-const startRate = 50_000;
-const leastRate = 2_000;
-const mostRate = 5_000_000;
-const rateWeight = 0.2;
-const leastSampleTokens = 3_000;
-const mostSampleWaitUs: Micros = 10_000;
+/** Prefill rate that is assumed until one was measured for the service. */
+const defaultTokensPerSecond = 50_000;
+const minTokensPerSecond = 2_000;
+const maxTokensPerSecond = 5_000_000;
+/** Weight of a new sample in the moving average. */
+const sampleWeight = 0.2;
+const minSampleTokens = 3_000;
+const maxSampleWaitUs: Micros = 10_000;
+/** Part of the time to the first piece that is not prefill. */
 const overheadUs: Micros = 20_000;
 
-export const rateOf = (view: DecisionView, service: string): number => view.rates.get(service) ?? startRate;
+/** Prefill rate of the servers of a service, in tokens per second. */
+export const rateOf = (view: DecisionView, service: string): number =>
+  view.rates.get(service) ?? defaultTokensPerSecond;
 
+/** Estimated duration of a prefill. */
 export const readUsOf = (view: DecisionView, service: string, tokens: number): Micros =>
   Math.round((tokens * 1_000_000) / rateOf(view, service));
 
+/** Estimated wait before a server would begin a prefill. */
 export const waitUsOf = (view: DecisionView, server: ServerKey): Micros =>
   Math.max(0, (view.busy.get(server) ?? 0) - view.atUs);
 
-/** The tokens of a work that a server does not hold yet, as far as this node knows. */
+/** The tokens of a prompt that a server has to prefill, since this node does not know them to be in its cache. */
 export const toReadAt = (view: DecisionView, server: ServerKey, work: Work): number => {
   let held = 0;
   for (const level of work.levels) {
@@ -36,28 +42,35 @@
   return Math.max(0, work.readTokens - held);
 };
 
+/** Adds a prefill to the queue of a server. */
 export const withReading = (view: DecisionView, server: ServerKey, service: string, tokens: number): DecisionView => ({
   ...view,
   busy: view.busy.set(server, Math.max(view.atUs, view.busy.get(server) ?? 0) + readUsOf(view, service, tokens)),
 });
 
-/** What the first piece of an exchange that met an idle server tells of the rate of its service. */
+/**
+ * Updates the prefill rate of a service (an exponentially weighted moving average) from the time to a first piece. Skips
+ * small prompts and servers that were not idle, whose times say little about the rate.
+ */
 export const withRateSample = (
   view: DecisionView,
   sample: { readonly service: string; readonly tokens: number; readonly waitUs: Micros; readonly tookUs: Micros },
 ): DecisionView => {
-  if (sample.tokens < leastSampleTokens || sample.waitUs > mostSampleWaitUs) return view;
-  const seen = Math.min(
-    mostRate,
-    Math.max(leastRate, (sample.tokens * 1_000_000) / Math.max(1_000, sample.tookUs - overheadUs)),
+  if (sample.tokens < minSampleTokens || sample.waitUs > maxSampleWaitUs) return view;
+  const measured = Math.min(
+    maxTokensPerSecond,
+    Math.max(minTokensPerSecond, (sample.tokens * 1_000_000) / Math.max(1_000, sample.tookUs - overheadUs)),
   );
-  const known = view.rates.get(sample.service);
+  const previous = view.rates.get(sample.service);
   return {
     ...view,
-    rates: view.rates.set(sample.service, known === undefined ? seen : known + (seen - known) * rateWeight),
+    rates: view.rates.set(
+      sample.service,
+      previous === undefined ? measured : previous + (measured - previous) * sampleWeight,
+    ),
   };
 };
 
-/** The prefixes that a server holds once it has read an exchange. */
+/** The prefixes in a server's cache after it has prefilled an exchange. */
 export const prefixesOf = (prefix: Prefix, work: Work | undefined): readonly Prefix[] =>
   work === undefined || work.levels.length === 0 ? [prefix] : work.levels.map((level) => level.prefix);
--- a/tests/decision/flat.test.ts
+++ b/tests/decision/flat.test.ts
@@ -77,7 +77,7 @@
         prefix: `p${place}`,
         position: positionOf(`p${place}`),
         service: place % 3 === 0 ? 'other' : 'model',
-        tierPlace: place % 2,
+        tierIndex: place % 2,
         weight: 1 + (place % 5),
         atUs: place * 1000,
       }),
@@ -116,7 +116,7 @@
 });
 
 test('hot openings are bounded, the hottest stay, and the arcs name exactly those that are known', () => {
-  const hottest = { prefix: 'hottest', position: 5, service: 'model', tierPlace: 0, weight: 1e6, atUs: 0 };
+  const hottest = { prefix: 'hottest', position: 5, service: 'model', tierIndex: 0, weight: 1e6, atUs: 0 };
   const hotness = heatedBy(6000, heated(emptyHotness, hottest));
   assert.ok(hotness.prefixes.size <= 4096);
   assert.ok(hotness.prefixes.size >= 4096 - 512);
