--- a/tests/decision/exchanges.ts
+++ b/tests/decision/exchanges.ts
@@ -1,7 +1,7 @@
 import type { DecisionEvent } from '../../src/decision/machine/event/decision-event.js';
 import { deliversOf, type Deliver, type Player } from './player.js';
 
-/** Sends an exchange and lets every delivery that follows end well at once. */
+/** Plays an exchange and completes each delivery that follows at once. */
 export const ranWell = (
   player: Player,
   exchange: { readonly at: number; readonly exchange: string; readonly kind?: string; readonly prefix: string },
@@ -11,12 +11,13 @@
   return delivered;
 };
 
+/** Plays the events of a successful attempt. */
 export const endWell = (player: Player, at: number, deliver: Deliver): void => {
-  const named = { at, exchange: deliver.exchange, attempt: deliver.attempt };
+  const attempt = { at, exchange: deliver.exchange, attempt: deliver.attempt };
   const events: readonly DecisionEvent[] = [
-    { type: 'sent', ...named },
-    { type: 'firstPiece', ...named },
-    { type: 'done', ...named },
+    { type: 'sent', ...attempt },
+    { type: 'firstPiece', ...attempt },
+    { type: 'done', ...attempt },
   ];
   player.play(...events);
 };
--- a/tests/decision/flat.test.ts
+++ b/tests/decision/flat.test.ts
@@ -13,46 +13,46 @@
 import { stepDecision } from '../../src/decision/machine/step/step.js';
 import { foundersAt, listOf, recordOf, second, setup } from './figures.js';
 
-const members = Array.from({ length: 40 }, (_, place) => ({ key: `s${place}/i`, id: `s${place}` }));
+const members = Array.from({ length: 40 }, (_, index) => ({ key: `s${index}/i`, id: `s${index}` }));
 
-/** The order as it is meant, found by looking at all owners for each place. */
-const ownersByLook = (owners: readonly string[], localityOf: (owner: string) => string): readonly string[] => {
+/** The specified order, by a quadratic scan: each time the next owner of a locality with the fewest owners so far. */
+const ownersByScan = (owners: readonly string[], localityOf: (owner: string) => string): readonly string[] => {
   const ordered: string[] = [];
   const countOf = (owner: string): number => ordered.filter((known) => localityOf(known) === localityOf(owner)).length;
   while (ordered.length < owners.length) {
-    const waiting = owners.filter((owner) => !ordered.includes(owner));
-    const least = Math.min(...waiting.map(countOf));
-    ordered.push(...waiting.filter((owner) => countOf(owner) === least).slice(0, 1));
+    const remaining = owners.filter((owner) => !ordered.includes(owner));
+    const fewest = Math.min(...remaining.map(countOf));
+    ordered.push(...remaining.filter((owner) => countOf(owner) === fewest).slice(0, 1));
   }
   return ordered;
 };
 
-test('owners stand in the same order as by looking at all of them, also in uneven localities', () => {
-  for (let place = 0; place < 10; place += 1) {
+test('interleaving by locality gives the order of the quadratic scan, also for localities of different size', () => {
+  for (let index = 0; index < 10; index += 1) {
     const owners = members
       .map(({ key }) => key)
-      .sort((left, right) => positionOf(`${place}${left}`) - positionOf(`${place}${right}`));
+      .sort((left, right) => positionOf(`${index}${left}`) - positionOf(`${index}${right}`));
     const localityOf = (owner: string): string =>
       String(Math.floor(Math.sqrt(owner.length * 7 + (owner.codePointAt(1) ?? 0) - 48)));
-    assert.equal(acrossLocalities(owners, localityOf), ownersByLook(owners, localityOf));
+    assert.equal(acrossLocalities(owners, localityOf), ownersByScan(owners, localityOf));
   }
 });
 
-test('the ranges of a join and of a leave are those of comparing the two rings', () => {
+test('the ranges of a join and of a leave equal those of a comparison of the two rings', () => {
   for (let count = 0; count < members.length; count += 1)
     for (const vnodeCount of [1, 3, 16]) {
       const ring = ringOf(members.slice(0, count), vnodeCount);
       for (const member of members.slice(count, count + 1)) {
-        const fuller = ringOf([...members.slice(0, count), member], vnodeCount);
-        assert.equal(joinRanges(ring, member, vnodeCount), previewRanges(ring, fuller));
-        assert.equal(leaveRanges(ring, member, vnodeCount), previewRanges(fuller, ring));
-        assert.equal(withMember(ring, member, vnodeCount), fuller);
-        assert.equal(withoutMember(fuller, member.key), ring);
+        const larger = ringOf([...members.slice(0, count), member], vnodeCount);
+        assert.equal(joinRanges(ring, member, vnodeCount), previewRanges(ring, larger));
+        assert.equal(leaveRanges(ring, member, vnodeCount), previewRanges(larger, ring));
+        assert.equal(withMember(ring, member, vnodeCount), larger);
+        assert.equal(withoutMember(larger, member.key), ring);
       }
     }
 });
 
-test('the range of a position is found among all that a rebalance has', () => {
+test('the binary search for the range of a position agrees with a linear scan of all ranges of a rebalance', () => {
   const ranges = previewRanges(ringOf(members, 8), ringOf(members, 16));
   assert.ok(ranges.length > 100);
   const positions = [
@@ -70,22 +70,22 @@
   assert.is(rangeAt([], 1), undefined);
 });
 
-const heatedBy = (count: number, start = emptyHotness): Hotness =>
-  Array.from({ length: count }, (_, place) => place).reduce(
-    (hotness, place) =>
+const hotnessAfter = (count: number, start = emptyHotness): Hotness =>
+  Array.from({ length: count }, (_, index) => index).reduce(
+    (hotness, index) =>
       heated(hotness, {
-        prefix: `p${place}`,
-        position: positionOf(`p${place}`),
-        service: place % 3 === 0 ? 'other' : 'model',
-        tierIndex: place % 2,
-        weight: 1 + (place % 5),
-        atUs: place * 1000,
+        prefix: `p${index}`,
+        position: positionOf(`p${index}`),
+        service: index % 3 === 0 ? 'other' : 'model',
+        tierIndex: index % 2,
+        weight: 1 + (index % 5),
+        atUs: index * 1000,
       }),
     start,
   );
 
-test('the rank in a range is that of sorting all openings', () => {
-  const hotness = heatedBy(400);
+test('the warm-up rank in a range agrees with sorting all prefixes', () => {
+  const hotness = hotnessAfter(400);
   const ranges: readonly Range[] = [
     { after: positionEnd * 0.2, upTo: positionEnd * 0.3, from: 'a', to: 'b' },
     { after: positionEnd * 0.95, upTo: positionEnd * 0.02, from: 'a', to: 'b' },
@@ -105,30 +105,30 @@
       )
       .map(([name]) => name);
     for (const prefix of hotness.prefixes.keys()) {
-      const place = sorted.indexOf(prefix);
+      const index = sorted.indexOf(prefix);
       for (const most of [1, 25, 5000])
         assert.is(
           rankIn(hotness, { prefix, service: 'model' }, range, atUs, most),
-          place >= 0 && place < most ? place : undefined,
+          index >= 0 && index < most ? index : undefined,
         );
     }
   }
 });
 
-test('hot openings are bounded, the hottest stay, and the arcs name exactly those that are known', () => {
+test('hot prefixes are bounded in number, the hottest stay, and the index of arcs holds exactly those', () => {
   const hottest = { prefix: 'hottest', position: 5, service: 'model', tierIndex: 0, weight: 1e6, atUs: 0 };
-  const hotness = heatedBy(6000, heated(emptyHotness, hottest));
+  const hotness = hotnessAfter(6000, heated(emptyHotness, hottest));
   assert.ok(hotness.prefixes.size <= 4096);
   assert.ok(hotness.prefixes.size >= 4096 - 512);
   assert.ok(hotness.prefixes.has('hottest'));
   assert.equal([...hotness.arcs.values()].flat().sort(), [...hotness.prefixes.keys()].sort());
 });
 
-test('what a server is known to have read is bounded, and the newest stays', () => {
-  const named = stepDecision(startDecisionView, { type: 'setup', at: 0, record: recordOf() }).view;
-  const view = Array.from({ length: 10_000 }, (_, place) => place).reduce(
-    (reached, place) => warmed({ ...reached, atUs: place }, 's', `p${place}`),
-    named,
+test('the cached prefixes of a server are bounded in number, and the newest stay', () => {
+  const configured = stepDecision(startDecisionView, { type: 'setup', at: 0, record: recordOf() }).view;
+  const view = Array.from({ length: 10_000 }, (_, index) => index).reduce(
+    (previous, index) => warmed({ ...previous, atUs: index }, 's', `p${index}`),
+    configured,
   );
   assert.ok((view.warmth.get('s')?.size ?? 0) <= 8192);
   assert.not(isCold(view, 's', 'p9999'));
@@ -136,65 +136,65 @@
   assert.ok(isCold(view, 's', 'p0'));
 });
 
-test('slots that lie behind are forgotten in time, those ahead never', () => {
+test('pace slots in the past are dropped, those in the future never', () => {
   let pace = emptyPace;
-  for (let place = 0; place < 5000; place += 1) {
-    pace = paceTaken(pace, `k${place}`, place, 50);
+  for (let index = 0; index < 5000; index += 1) {
+    pace = paceTaken(pace, `k${index}`, index, 50);
     assert.ok(pace.freeUs.size <= 128);
-    assert.not(paceAllows(pace, `k${place}`, place) || paceAllows(pace, `k${Math.max(0, place - 49)}`, place));
+    assert.not(paceAllows(pace, `k${index}`, index) || paceAllows(pace, `k${Math.max(0, index - 49)}`, index));
   }
 });
 
-test('older views stay as they were: the same events give the same decisions from them again', () => {
-  const begun = stepDecision(stepDecision(startDecisionView, { type: 'setup', at: 0, record: recordOf(setup) }).view, {
+test('a view is immutable: the same events from an old view give the same decisions again', () => {
+  const listed = stepDecision(stepDecision(startDecisionView, { type: 'setup', at: 0, record: recordOf(setup) }).view, {
     type: 'list',
     at: 0,
     list: listOf(1, 0, foundersAt(5, 0)),
   }).view;
-  const playFrom = () => {
-    let view = begun;
-    return Array.from({ length: 60 }, (_, place) => {
+  const play = () => {
+    let view = listed;
+    return Array.from({ length: 60 }, (_, index) => {
       const step = stepDecision(
         view,
-        place % 7 === 6
-          ? { type: 'tick', at: place * second }
-          : { type: 'exchange', at: place * second, exchange: `x${place}`, kind: 'ask', prefix: `p${place % 9}` },
+        index % 7 === 6
+          ? { type: 'tick', at: index * second }
+          : { type: 'exchange', at: index * second, exchange: `x${index}`, kind: 'ask', prefix: `p${index % 9}` },
       );
       view = step.view;
       return step.effects;
     });
   };
-  const first = playFrom();
-  assert.is(begun.exchanges.size, 0);
-  assert.equal(playFrom(), first);
+  const first = play();
+  assert.is(listed.exchanges.size, 0);
+  assert.equal(play(), first);
 });
 
-test('the sums of pressure are those of adding it up, whatever happens', () => {
+test('the pressure per ring always equals the sum over its servers', () => {
   let view = stepDecision(stepDecision(startDecisionView, { type: 'setup', at: 0, record: recordOf(setup) }).view, {
     type: 'list',
     at: 0,
     list: listOf(1, 0, foundersAt(5, 0)),
   }).view;
-  for (let place = 1; place < 400; place += 1) {
-    const at = place * 200_000;
-    const known = [...view.exchanges.values()][place % Math.max(1, view.exchanges.size)];
-    const named = { at, exchange: known?.exchange ?? '', attempt: known?.attempt ?? 0 };
+  for (let index = 1; index < 400; index += 1) {
+    const at = index * 200_000;
+    const running = [...view.exchanges.values()][index % Math.max(1, view.exchanges.size)];
+    const attempt1 = { at, exchange: running?.exchange ?? '', attempt: running?.attempt ?? 0 };
     view = stepDecision(view, {
       type: 'exchange',
       at,
-      exchange: `x${place}`,
-      kind: place % 5 === 0 ? 'check' : 'ask',
-      prefix: `p${place % 20}`,
+      exchange: `x${index}`,
+      kind: index % 5 === 0 ? 'check' : 'ask',
+      prefix: `p${index % 20}`,
     }).view;
-    if (place % 3 === 0) view = stepDecision(view, { type: 'done', ...named }).view;
-    if (place % 4 === 0)
-      view = stepDecision(view, { type: 'failed', ...named, sent: false, pieces: 0, error: 'no-link' }).view;
-    if (place % 10 === 0) view = stepDecision(view, { type: 'tick', at }).view;
-    if (place % 100 === 0)
+    if (index % 3 === 0) view = stepDecision(view, { type: 'done', ...attempt1 }).view;
+    if (index % 4 === 0)
+      view = stepDecision(view, { type: 'failed', ...attempt1, sent: false, pieces: 0, error: 'no-link' }).view;
+    if (index % 10 === 0) view = stepDecision(view, { type: 'tick', at }).view;
+    if (index % 100 === 0)
       view = stepDecision(view, {
         type: 'list',
         at,
-        list: listOf(1 + place, at, foundersAt(5 + ((place / 100) % 2), 0)),
+        list: listOf(1 + index, at, foundersAt(5 + ((index / 100) % 2), 0)),
       }).view;
     const pressure = [...(view.stage.services.get('model')?.localities.keys() ?? [])].reduce(
       (sum, server) => sum + (view.pressure.get(server) ?? 0),
