--- a/src/decision/health/server-failures.ts
+++ b/src/decision/health/server-failures.ts
@@ -34,9 +34,9 @@
 ): ServerFailures => {
   const previous = failures.get(server);
   const score = (previous === undefined ? 0 : decayedScore(previous, nowUs)) + failureWeights[cause];
-  const avoidedUntilUs = score >= ejectionScore ? nowUs + ejectionUs : (previous?.avoidedUntilUs ?? 0);
+  const untilUs = score >= ejectionScore ? nowUs + ejectionUs : (previous?.avoidedUntilUs ?? 0);
   const recentFailures = failures.filter(({ atUs }) => nowUs - atUs < scoreRetentionUs);
-  return recentFailures.set(server, { score, atUs: nowUs, avoidedUntilUs });
+  return recentFailures.set(server, { score, atUs: nowUs, avoidedUntilUs: untilUs });
 };
 
 /** The ejected servers among `servers`; none if more than the permitted fraction of them would be ejected. */
@@ -46,7 +46,7 @@
   nowUs: Micros,
 ): ReadonlySet<ServerKey> => {
   const ejected = new Set<ServerKey>();
-  for (const [server, { avoidedUntilUs }] of failures)
-    if (nowUs < avoidedUntilUs && servers.has(server)) ejected.add(server);
+  for (const [server, { avoidedUntilUs: untilUs }] of failures)
+    if (nowUs < untilUs && servers.has(server)) ejected.add(server);
   return ejected.size > servers.size * mostAvoidedPart ? new Set() : ejected;
 };
--- a/src/decision/machine/step/on-list.ts
+++ b/src/decision/machine/step/on-list.ts
@@ -18,11 +18,11 @@
 /** A server that loads new model weights has an empty prefix cache; its connections stay open. */
 const withoutStaleCaches = (view: DecisionView, list: ServerList, previousServers: ServersByKey): DecisionView => ({
   ...view,
-  warmth: list.servers.reduce((warmth, server) => {
+  warmth: list.servers.reduce((caches, server) => {
     const previousServer = previousServers.get(serverKeyOf(server));
     return previousServer !== undefined && previousServer.weights !== server.weights
-      ? warmth.delete(serverKeyOf(server))
-      : warmth;
+      ? caches.delete(serverKeyOf(server))
+      : caches;
   }, view.warmth),
 });
 
--- a/src/decision/machine/step/retry-allowance.ts
+++ b/src/decision/machine/step/retry-allowance.ts
@@ -17,7 +17,7 @@
  * Counts an attempt: a first attempt when it is sent, a retry already when it is decided; otherwise many attempts that
  * fail at the same time would all pass the budget.
  */
-export const withTry = (view: DecisionView, service: string, isExtra: boolean): DecisionView => ({
+export const withTry = (view: DecisionView, service: string, isRetry: boolean): DecisionView => ({
   ...view,
-  tries: view.tries.set(service, triesAfter(view.tries.get(service) ?? [], view.atUs, isExtra)),
+  tries: view.tries.set(service, triesAfter(view.tries.get(service) ?? [], view.atUs, isRetry)),
 });
--- a/src/decision/pace/pace.ts
+++ b/src/decision/pace/pace.ts
@@ -28,8 +28,8 @@
 
 /** Uses up the current slot of a range. Keeps at most twice as many entries as ever lay in the future at once, or 128. */
 export const paceTaken = (pace: Pace, paceKey: PaceKey, atUs: Micros, spanUs: Micros): Pace => {
-  const freeUs = pace.freeUs.set(paceKey, atUs + spanUs);
-  if (freeUs.size < pace.most) return { freeUs, most: pace.most };
-  const futureUs = freeUs.filter((slotUs) => slotUs > atUs);
-  return { freeUs: futureUs, most: Math.max(minPruneSize, futureUs.size * 2) };
+  const slots = pace.freeUs.set(paceKey, atUs + spanUs);
+  if (slots.size < pace.most) return { freeUs: slots, most: pace.most };
+  const futureSlots = slots.filter((slotUs) => slotUs > atUs);
+  return { freeUs: futureSlots, most: Math.max(minPruneSize, futureSlots.size * 2) };
 };
--- a/src/decision/retry/retry-budget.ts
+++ b/src/decision/retry/retry-budget.ts
@@ -21,12 +21,12 @@
 export const mayTryAgain = (tries: Tries, atUs: Micros, budget: RetryBudget): boolean => {
   const nowSlice = Math.floor(atUs / sliceUs);
   const bySlice = new Map(tries.map((attemptSlice) => [attemptSlice.slice, attemptSlice]));
-  let firsts = 0;
-  let extras = bySlice.get(nowSlice)?.extras ?? 0;
+  let firstAttempts = 0;
+  let retries = bySlice.get(nowSlice)?.extras ?? 0;
   for (let back = 0; back < windowSlices; back += 1) {
-    firsts += bySlice.get(nowSlice - back)?.firsts ?? 0;
-    extras += bySlice.get(nowSlice - back - 1)?.extras ?? 0;
-    if (back + 1 >= minIntervalSlices && extras + 1 > Math.floor(firsts * budget.fraction + budget.constant))
+    firstAttempts += bySlice.get(nowSlice - back)?.firsts ?? 0;
+    retries += bySlice.get(nowSlice - back - 1)?.extras ?? 0;
+    if (back + 1 >= minIntervalSlices && retries + 1 > Math.floor(firstAttempts * budget.fraction + budget.constant))
       return false;
   }
   return true;
--- a/src/decision/ring/owners-in-turn.ts
+++ b/src/decision/ring/owners-in-turn.ts
@@ -12,14 +12,14 @@
  * prefix, unless all servers are in one. Walks the ring only as far as the consumer asks.
  */
 export function* ownersInTurn(
-  walkedOwners: Iterable<ServerKey>,
+  ringWalk: Iterable<ServerKey>,
   localityOf: (owner: ServerKey) => string,
   sizes: LocalitySizes,
 ): Generator<ServerKey, void> {
   const turns = new Map<string, Turn>(
     [...sizes].map(([locality, size]) => [locality, { waiting: [], left: size, count: 0 }]),
   );
-  const walk = walkedOwners[Symbol.iterator]();
+  const walk = ringWalk[Symbol.iterator]();
   let walkedCount = 0;
   const walkNext = (): boolean => {
     const next = walk.next();
