--- a/src/decision/machine/step/exchange-changes.ts
+++ b/src/decision/machine/step/exchange-changes.ts
@@ -4,6 +4,7 @@
 import { ringPressureAfter } from './ring-pressure.js';
 import { wakeUsOf } from './wake.js';
 
+/** Adds or replaces an exchange; its deadline counts towards `wakeUs`. */
 export const withExchange = (view: DecisionView, exchange: ExchangeView): DecisionView => ({
   ...view,
   exchanges: view.exchanges.set(exchange.exchange, exchange),
--- a/src/decision/machine/step/flights.ts
+++ b/src/decision/machine/step/flights.ts
@@ -8,7 +8,7 @@
   flights: view.flights.set(flightKey, flight),
 });
 
-/** Removes an exchange from the flight that it follows; it keeps its place in the view. */
+/** Removes an exchange from the flight that it follows; it stays in the view. */
 export const unfollowed = (view: DecisionView, exchange: ExchangeView): DecisionView => {
   if (exchange.follows === undefined) return view;
   const flight = view.flights.get(exchange.follows);
--- a/src/decision/machine/step/on-delivery.ts
+++ b/src/decision/machine/step/on-delivery.ts
@@ -29,13 +29,16 @@
   prefixesOf(prefix, work).reduce((previousView, cached) => warmed(previousView, server, cached), view);
 
 /** Samples the prefill rate of the service from the time to the first piece. */
-const withFirstPieceSample = (view: DecisionView, { rule, given, deliveredUs, started }: ExchangeView): DecisionView =>
+const withFirstPieceSample = (
+  view: DecisionView,
+  { rule, given: prefill, deliveredUs, started }: ExchangeView,
+): DecisionView =>
   started
     ? view
     : withRateSample(view, {
         service: rule.service,
-        tokens: given.tokens,
-        waitUs: given.waitUs,
+        tokens: prefill.tokens,
+        waitUs: prefill.waitUs,
         tookUs: view.atUs - deliveredUs,
       });
 
--- a/src/decision/machine/step/place.ts
+++ b/src/decision/machine/step/place.ts
@@ -61,9 +61,9 @@
 const isScheduled = (view: DecisionView, exchange: ExchangeView, migration: Migration, range: Range): boolean => {
   const slot = Math.floor((platformUsOf(view) - migration.fromUs) / slotUsOf(view, migration) - view.phase);
   if (slot < 0) return false;
-  const most = Math.min(slot + 1, migration.warmup.prefixesPerRange);
+  const rankLimit = Math.min(slot + 1, migration.warmup.prefixesPerRange);
   return (
-    rankIn(view.hotness, { prefix: exchange.prefix, service: exchange.rule.service }, range, view.atUs, most) !==
+    rankIn(view.hotness, { prefix: exchange.prefix, service: exchange.rule.service }, range, view.atUs, rankLimit) !==
     undefined
   );
 };
--- a/src/decision/machine/step/restage.ts
+++ b/src/decision/machine/step/restage.ts
@@ -59,7 +59,7 @@
       stage: nextTopology,
       joining,
       ringPressure: ringPressureAt(nextTopology, view.pressure),
-      busy: view.busy.filter((busyUs) => busyUs > view.atUs),
+      busy: view.busy.filter((endUs) => endUs > view.atUs),
       warmth: view.warmth.filter((_, key) => listedKeys.has(key)),
       dark: new Set([...view.dark].filter((key) => listedKeys.has(key))),
     },
--- a/src/decision/machine/view/decision-view.ts
+++ b/src/decision/machine/view/decision-view.ts
@@ -19,12 +19,14 @@
 
 /** The immutable state of the decision machine: what one router has learned and decided so far. */
 export type DecisionView = {
+  /** The monotonic time of the latest event. */
   readonly atUs: Micros;
   readonly startedUs: Micros | undefined;
   /** Offset of this node's pace slots from the beginning of a migration, as a fraction of a slot. */
   readonly phase: number;
   /** A lower bound of the platform time. */
   readonly platform: TimeBound | undefined;
+  /** The latest replicated configuration. */
   readonly record: SetupRecord | undefined;
   /** Recent counts of the routers in the fleet, with the time until which each holds. */
   readonly counts: RouterCounts;
--- a/src/decision/machine/view/exchange-view.ts
+++ b/src/decision/machine/view/exchange-view.ts
@@ -11,7 +11,6 @@
  * a time.
  */
 export type ExchangeView = {
-  /** Its id. */
   readonly exchange: string;
   readonly rule: Rule;
   readonly tierPlace: number;
@@ -25,9 +24,11 @@
   readonly dueUs: Micros;
   /** The number of the latest attempt, from 1; 0 before the first. */
   readonly attempt: number;
+  /** All servers of its attempts, the running one included. */
   readonly tried: readonly ServerKey[];
   /** The server of the running attempt; undefined while held. */
   readonly server: ServerKey | undefined;
+  /** When the latest attempt was decided. */
   readonly deliveredUs: Micros;
   /** Whether the running attempt has been sent. */
   readonly sent: boolean;
--- a/src/decision/retry/retry-budget.ts
+++ b/src/decision/retry/retry-budget.ts
@@ -18,9 +18,9 @@
  * then does it stay within it in a window that begins at any time: first attempts before a window don't count in it.
  * Slices that lie partly in an interval count with their retries but not with their first attempts.
  */
-export const mayTryAgain = (tries: Tries, atUs: Micros, budget: RetryBudget): boolean => {
+export const mayTryAgain = (window: Tries, atUs: Micros, budget: RetryBudget): boolean => {
   const nowSlice = Math.floor(atUs / sliceUs);
-  const bySlice = new Map(tries.map((attemptSlice) => [attemptSlice.slice, attemptSlice]));
+  const bySlice = new Map(window.map((attemptSlice) => [attemptSlice.slice, attemptSlice]));
   let firstAttempts = 0;
   let retries = bySlice.get(nowSlice)?.extras ?? 0;
   for (let back = 0; back < windowSlices; back += 1) {
--- a/src/decision/retry/tries.ts
+++ b/src/decision/retry/tries.ts
@@ -16,18 +16,18 @@
 export const windowUs: Micros = 10_000_000;
 
 /** Counts one attempt, and drops slices that have left the window. */
-export const triesAfter = (tries: Tries, atUs: Micros, isRetry: boolean): Tries => {
+export const triesAfter = (window: Tries, atUs: Micros, isRetry: boolean): Tries => {
   const slice = Math.floor(atUs / sliceUs);
-  const lastSlice = tries[tries.length - 1];
+  const lastSlice = window[window.length - 1];
   if (lastSlice?.slice === slice)
     return [
-      ...tries.slice(0, -1),
+      ...window.slice(0, -1),
       { slice, firsts: lastSlice.firsts + (isRetry ? 0 : 1), extras: lastSlice.extras + (isRetry ? 1 : 0) },
     ];
-  const recentSlices = tries.filter(
+  const recentSlices = window.filter(
     (attemptSlice) => attemptSlice.slice > slice - windowUs / sliceUs - 1 && attemptSlice.slice !== slice,
   );
-  const existing = tries.find((attemptSlice) => attemptSlice.slice === slice) ?? { slice, firsts: 0, extras: 0 };
+  const existing = window.find((attemptSlice) => attemptSlice.slice === slice) ?? { slice, firsts: 0, extras: 0 };
   return [
     ...recentSlices,
     { slice, firsts: existing.firsts + (isRetry ? 0 : 1), extras: existing.extras + (isRetry ? 1 : 0) },
--- a/src/decision/timeline/bookings.ts
+++ b/src/decision/timeline/bookings.ts
@@ -39,9 +39,9 @@
   for (const server of bookedServers) {
     const sinceUs = sinceOf(server);
     const warmup = warmupAt(record, sinceUs);
-    const opensRing = type === 'web' || sinceUs <= foundingEndUs;
+    const entersAtOnce = type === 'web' || sinceUs <= foundingEndUs;
     const startUs = Math.max(sinceUs, madeBookings[madeBookings.length - 1]?.entryUs ?? sinceUs);
-    const entryUs = opensRing ? sinceUs : Math.min(startUs + lengthOf(warmup), sinceUs + warmup.boundUs);
+    const entryUs = entersAtOnce ? sinceUs : Math.min(startUs + lengthOf(warmup), sinceUs + warmup.boundUs);
     madeBookings.push({ key: serverKeyOf(server), server, sinceUs, entryUs, warmup });
   }
   return madeBookings;
--- a/src/decision/trace/trace-reader.ts
+++ b/src/decision/trace/trace-reader.ts
@@ -16,7 +16,7 @@
   readonly view: () => DecisionView;
 };
 
-/** Why an event can not follow the events before it. */
+/** Why an event cannot follow the events before it. */
 type OrderFault = { readonly field: string; readonly message: string };
 
 /** Opens a reader on a machine in the view `start`. */
