--- a/tests/decision/configuration-changes.test.ts
+++ b/tests/decision/configuration-changes.test.ts
@@ -39,15 +39,19 @@
   Array.from({ length: trafficUs / arrivalGapUs }, (_, index) => index).flatMap((index): readonly DecisionEvent[] => {
     const at = index * arrivalGapUs + 1;
     const attempt1 = { exchange: `x${index}`, attempt: 1 };
-    const opening = `opening ${(index * 48_271) % 97}`;
+    const prefixText = `opening ${(index * 48_271) % 97}`;
     return [
       {
         type: 'exchange',
         at,
         exchange: attempt1.exchange,
         kind: index % 3 === 0 ? 'draft' : 'ask',
-        prefix: prefixOf('model', opening),
-        work: { levels: [{ prefix: prefixOf('model', opening), tokens: 2_000 }], readTokens: 3_000, writeTokens: 50 },
+        prefix: prefixOf('model', prefixText),
+        work: {
+          levels: [{ prefix: prefixOf('model', prefixText), tokens: 2_000 }],
+          readTokens: 3_000,
+          writeTokens: 50,
+        },
       },
       { type: 'sent', at: at + 1, ...attempt1 },
       { type: 'firstPiece', at: at + 60_000, ...attempt1 },
--- a/tests/explain/explain.test.ts
+++ b/tests/explain/explain.test.ts
@@ -5,16 +5,16 @@
 import { journalTextOf, readJournal } from '../../src/router/explain/saved-journal.js';
 import { readyFleet, second, type SmallFleet } from '../sim/small-fleet.js';
 
-const storiesOf = (fleet: SmallFleet): readonly ExchangeStory[] =>
+const tracesOf = (fleet: SmallFleet): readonly ExchangeStory[] =>
   fleet.routers.flatMap((router) => router.tasks()?.router.stories.all() ?? []);
 
 /** The explanation of the exchange that ran a work, from a journal that was saved and read back. */
 const savedExplanationOf = (fleet: SmallFleet, work: string): string => {
   const run = fleet.history.runs.find((candidate) => candidate.work === work);
-  const stories = readJournal(journalTextOf('r1', storiesOf(fleet))).unsafeCoerce();
-  const story = stories.find((candidate) => candidate.exchange === run?.exchange);
-  assert.ok(story, `the journal has no story of ${work}`);
-  return explainStory(story).join('\n');
+  const traces = readJournal(journalTextOf('r1', tracesOf(fleet))).unsafeCoerce();
+  const trace = traces.find((candidate) => candidate.exchange === run?.exchange);
+  assert.ok(trace, `the journal has no trace of ${work}`);
+  return explainStory(trace).join('\n');
 };
 
 test('a saved journal explains why an exchange was resumed elsewhere, held behind a prefill, or has an unknown outcome', async () => {
@@ -29,8 +29,8 @@
     fleet.models.find((server) => server.listed.id === run?.server)?.crash();
   }
   await fleet.play(8 * second);
-  const works = ['first', 'second'].map((work) => savedExplanationOf(fleet, work));
-  assert.match(works.join('\n'), /was held behind the prefill of the same opening that \S+ had begun/);
+  const explanations = ['first', 'second'].map((work) => savedExplanationOf(fleet, work));
+  assert.match(explanations.join('\n'), /was held behind the prefill of the same opening that \S+ had begun/);
   assert.match(
     savedExplanationOf(fleet, 'first'),
     /carried over at piece \d+, attempt 2, at \S+ \(an extra try\), since/,
@@ -47,13 +47,13 @@
   for (const machine of fleet.core.machines) machine.kill();
   fleet.call({ work: 'keyed', kind: 'summary', key: 'keyed' });
   await fleet.play(8 * second);
-  const texts = storiesOf(fleet).map((story) => explainStory(story).join('\n'));
+  const texts = tracesOf(fleet).map((trace) => explainStory(trace).join('\n'));
   assert.ok(texts.some((text) => text.includes('was refused: no-server; it did not run and never will')));
   assert.ok(texts.some((text) => text.includes('kind summary') && text.includes('was refused: no-claim')));
 });
 
 test('a damaged journal is an error that names the line', () => {
-  const story: ExchangeStory = {
+  const trace: ExchangeStory = {
     exchange: 'x',
     kind: 'k',
     tier: 't',
@@ -62,7 +62,7 @@
     listVersion: 1,
     steps: [{ at: 1, what: 'deliver', facts: {} }],
   };
-  const text = journalTextOf('r1', [story, { ...story, exchange: 'y' }]);
+  const text = journalTextOf('r1', [trace, { ...trace, exchange: 'y' }]);
   assert.is(readJournal(text).unsafeCoerce().length, 2);
   const [headLine = '', first = '', secondLine = '', endLine = ''] = text.split('\n');
   const cases: readonly (readonly [string, string])[] = [
