--- a/src/quota/quota-grant.ts
+++ b/src/quota/quota-grant.ts
@@ -1,26 +1,26 @@
 import type { Micros } from '../common/micros.js';
 
-/** What a router asks a store for. */
+/** A router's request to a quota store for tokens of one tenant. */
 export type QuotaRequest = {
   readonly tenant: string;
-  /** What the requests that wait there cost; less than this is of no use to it, unless it is more than a share holds. */
+  /** Tokens that the first waiting request lacks, plus debt. A smaller grant is useless unless the router collects parts. */
   readonly needed: number;
-  /** What it would spend soon, the needed tokens among them. */
+  /** Tokens that the router expects to spend soon, including `needed`. */
   readonly wanted: number;
-  /** Whether a part of what is needed is of use: the router collects it from several stores. */
+  /** Whether less than `needed` is accepted, because the router collects partial grants from several stores. */
   readonly takesPart: boolean;
 };
 
-/** What a store says to that. */
+/** A store's reply to a quota request. */
 export type QuotaReply =
-  /** At least what is needed. */
+  /** Grants at least `needed` tokens. */
   | { readonly type: 'granted'; readonly tokens: number }
-  /** Too little is left: `tokens` is what was given of it to a router that takes a part, `left` what is still there. */
+  /** The store has less than `needed`. `tokens` is the partial grant (0 unless `takesPart`), `left` the level after it. */
   | {
       readonly type: 'exhausted';
       readonly tokens: number;
       readonly left: number;
       readonly retryAfterUs: Micros;
     }
-  /** This machine may not grant now, or does not know the tenant; another one may. */
+  /** This store may not grant now, or has no configuration of the tenant; the router tries another store. */
   | { readonly type: 'unavailable' };
--- a/src/servers/link/carriage.ts
+++ b/src/servers/link/carriage.ts
@@ -1,7 +1,8 @@
-/** An opaque exchange on its way over a link. */
+/** Controls an opaque exchange that is in flight on a link. */
 export type Carriage = {
+  /** Backpressure: stops reading the response until `resume`. */
   readonly pause: () => void;
   readonly resume: () => void;
-  /** Ends it together with its link. */
+  /** Aborts the exchange and closes its link. */
   readonly cancel: () => void;
 };
--- a/src/servers/link/carried-head.ts
+++ b/src/servers/link/carried-head.ts
@@ -1,12 +1,12 @@
 import type { ServerLoad } from '../../decision/health/server-load.js';
 import type { ReceiptHead } from '../../router/opaque/receipt-head.js';
 
-/** What the beginning of a server's receipt says of the exchange. */
+/** The head of a server's response to an opaque exchange, and what its headers state about the exchange. */
 export type CarriedHead = ReceiptHead & {
-  /** False only where the server vouches that the exchange did not run and never will. */
+  /** False only if the server states that the exchange did not run and never will, so that it can be retried safely. */
   readonly ran: boolean;
-  /** Whether it bears the server's mark, without which no success counts. */
+  /** Whether the response carries the server's seal header; a success without it is rejected. */
   readonly sealed: boolean;
-  /** Its load, where the server tells it. */
+  /** The server's load, if the response reports it. */
   readonly load?: ServerLoad;
 };
--- a/src/servers/link/carry-listener.ts
+++ b/src/servers/link/carry-listener.ts
@@ -1,11 +1,12 @@
 import type { CarriedHead } from './carried-head.js';
 
-/** What a link tells while it carries an opaque exchange. The last word is `end` or `lost`, once. */
+/** Callbacks of a link for the response to one opaque exchange. Unless it is cancelled, the last call is `end` or `lost`, once. */
 export type CarryListener = {
   readonly head: (head: CarriedHead) => void;
-  /** Bytes to be given on as they are; a whole numbered piece where the receipt has such. */
+  /** Bytes to pass on unchanged. If the response is an event stream, they are one whole event and `number` is its numeric `id`. */
   readonly piece: (bytes: Uint8Array, number: number | undefined) => void;
-  /** The receipt is whole. */
+  /** The response is complete. */
   readonly end: () => void;
+  /** The response broke off or is invalid; the link is closed. */
   readonly lost: (message: string) => void;
 };
--- a/src/servers/link/server-receipt.ts
+++ b/src/servers/link/server-receipt.ts
@@ -1,4 +1,4 @@
-/** The beginning of a server's receipt; its body comes in chunks as they arrive. */
+/** A server's response; the body yields its chunks as they arrive and throws if the connection breaks. */
 export type ServerReceipt = {
   readonly status: number;
   readonly body: AsyncIterator<string>;
--- a/src/servers/list/asked-list.ts
+++ b/src/servers/list/asked-list.ts
@@ -2,14 +2,15 @@
 import type { ServerList } from './server-list.js';
 
 /**
- * A list put together from readings, on the fleet's own time line. Lists of one fleet form a join-semilattice; the
- * version is monotone under the join, and the digest tells apart what has the same version.
+ * A server list that the nodes assemble from polls of the platform, stamped with the fleet's own clock. The lists of one
+ * fleet form a join-semilattice (a state-based CRDT): the version is monotone under the join, and the digest distinguishes
+ * lists of the same version.
  */
 export type AskedList = ServerList & {
   readonly digest: string;
-  /** Tombstones from before this moment have been dropped. */
+  /** Tombstones from before this moment have been removed. */
   readonly floorUs: Micros;
-  /** What the dropped tombstones gave to the version. */
+  /** The contribution of the removed tombstones to the version. */
   readonly spent: number;
 };
 
--- a/src/servers/list/check-asked-list.ts
+++ b/src/servers/list/check-asked-list.ts
@@ -3,23 +3,23 @@
 import { listSchema } from './check-list.js';
 import type { ServerList } from './server-list.js';
 
-const whole = () => number().required().integer().min(0);
-const name = () => string().required();
+const nonNegativeInteger = () => number().required().integer().min(0);
+const requiredString = () => string().required();
 
 const askedListSchema = object({
-  version: whole(),
-  atUs: whole(),
-  digest: name(),
-  floorUs: whole(),
-  spent: whole(),
+  version: nonNegativeInteger(),
+  atUs: nonNegativeInteger(),
+  digest: requiredString(),
+  floorUs: nonNegativeInteger(),
+  spent: nonNegativeInteger(),
   servers: array(
     object({
-      id: name(),
-      incarnation: name(),
-      service: name(),
-      address: name(),
-      locality: name(),
-      listedAtUs: whole(),
+      id: requiredString(),
+      incarnation: requiredString(),
+      service: requiredString(),
+      address: requiredString(),
+      locality: requiredString(),
+      listedAtUs: nonNegativeInteger(),
       state: string()
         .required()
         .oneOf(['up', 'leaving', 'gone'] as const),
@@ -33,7 +33,7 @@
       .noUnknown()
       .test(
         'stamps',
-        '${path} lacks the stamp of its state',
+        '${path} has state leaving without leavingAtUs or state gone without goneAtUs',
         ({ state, leavingAtUs, goneAtUs }) =>
           state === 'up' || (state === 'leaving' ? leavingAtUs !== undefined : goneAtUs !== undefined),
       ),
@@ -42,6 +42,6 @@
   .required()
   .noUnknown();
 
-/** Whether a value is a list as nodes hand it on, told or asked. */
+/** Whether a value is a server list as nodes exchange it: pushed by the platform, or polled. */
 export const isAnyList = (value: unknown): value is ServerList | AskedList =>
   listSchema.isValidSync(value, { strict: true }) || askedListSchema.isValidSync(value, { strict: true });
--- a/src/servers/source/fold-reading.ts
+++ b/src/servers/source/fold-reading.ts
@@ -5,7 +5,7 @@
 import type { ListReading } from './list-reading.js';
 import type { ReadServer } from './read-server.js';
 
-const listed = (server: ReadServer, known: ListedServer | undefined, nowUs: Micros): ListedServer => ({
+const toListedServer = (server: ReadServer, known: ListedServer | undefined, nowUs: Micros): ListedServer => ({
   id: server.id,
   incarnation: server.incarnation ?? server.id,
   service: server.service,
@@ -23,12 +23,16 @@
       }),
 });
 
-/** Readings of two nodes overlap, and their times differ a little; a server first seen later than this before is not missed. */
+/**
+ * A server that was listed less than this before a poll began is not removed if the poll lacks it: polls of two nodes
+ * overlap, and their clocks differ slightly.
+ */
 export const settledUs: Micros = 500_000;
 
 /**
- * The list after a reading that began and came in at moments of the fleet's time. Only a whole reading proves a server
- * gone, and only one that had been listed for a while when it began: a late reading may be older than the list.
+ * Merges a reading that began at `begunUs` and arrived at `nowUs` of the fleet's clock into the list; returns the same list
+ * if nothing changed. Only a complete reading marks missing servers as gone, and only those that had been listed for
+ * `listingGraceUs` when it began, since a late reading may be older than the list.
  */
 export const foldReading = (
   known: AskedList | undefined,
@@ -39,16 +43,16 @@
   const stampUs = Math.floor(nowUs / 1_000) * 1_000;
   const knownById = new Map((known?.servers ?? []).map((server) => [server.id, server] as const));
   const readIds = new Set(reading.servers.map(({ id }) => id));
-  const shown = reading.servers.map((server) => listed(server, knownById.get(server.id), stampUs));
-  const missed = reading.whole
+  const present = reading.servers.map((server) => toListedServer(server, knownById.get(server.id), stampUs));
+  const missing = reading.whole
     ? [...knownById.values()]
         .filter(
           ({ id, listedAtUs, state }) => state !== 'gone' && !readIds.has(id) && listedAtUs + settledUs <= begunUs,
         )
         .map((server): ListedServer => ({ ...server, state: 'gone', goneAtUs: stampUs }))
     : [];
-  const news = askedListOf([...shown, ...missed], stampUs);
-  if (known === undefined) return news;
-  const next = mergeLists(known, news);
+  const update = askedListOf([...present, ...missing], stampUs);
+  if (known === undefined) return update;
+  const next = mergeLists(known, update);
   return next.digest === known.digest ? known : withoutOldTombstones(next);
 };
--- a/src/servers/source/list-reading.ts
+++ b/src/servers/source/list-reading.ts
@@ -1,6 +1,6 @@
 import type { ReadServer } from './read-server.js';
 
-/** What the platform answered when it was asked; whole when no page is missing. */
+/** The result of one poll of the platform's server list; `whole` if no page is missing. */
 export type ListReading = {
   readonly servers: readonly ReadServer[];
   readonly whole: boolean;
--- a/src/servers/source/read-mark.ts
+++ b/src/servers/source/read-mark.ts
@@ -1,17 +1,17 @@
 import type { Micros } from '../../common/micros.js';
 import type { PartnerRole } from '../../spread/partner/partner-role.js';
 
-/** When a whole reading began, on the fleet's time line, and the reader's key. */
+/** Identifies a complete reading: when it began, on the fleet's clock, and the key of the node that made it. */
 export type ReadMark = {
   readonly atUs: Micros;
   readonly by: string;
 };
 
-/** A reader's key; the lesser key precedes: core machines before routers, then by name. */
+/** Key by which competing pollers are ordered; the lesser key wins: control nodes before routers, then by name. */
 export const readerKeyOf = ({ role, node }: { readonly role: PartnerRole; readonly node: string }): string =>
   `${role}/${node}`;
 
-/** The fresher of two marks. */
+/** The later of two stamps; at the same moment, that of the lesser key. */
 export const laterMark = (left: ReadMark | undefined, right: ReadMark | undefined): ReadMark | undefined => {
   if (left === undefined || right === undefined) return left ?? right;
   if (left.atUs !== right.atUs) return left.atUs > right.atUs ? left : right;
--- a/src/servers/source/read-server.ts
+++ b/src/servers/source/read-server.ts
@@ -1,4 +1,4 @@
-/** One server as a reading shows it; the platform tells no times. */
+/** One server as the platform returns it to a poll; without stamps, which the fleet adds. */
 export type ReadServer = {
   readonly id: string;
   readonly incarnation?: string;
--- a/src/servers/source/source-machine.ts
+++ b/src/servers/source/source-machine.ts
@@ -6,7 +6,7 @@
 import type { SourceEvent } from './source-event.js';
 import type { SourceView } from './source-view.js';
 
-/** What the machine that asks wants done. */
+/** Effect of the poller election: poll the platform now. */
 export type SourceEffect = { readonly type: 'ask' };
 
 export type SourceStep = {
@@ -14,33 +14,34 @@
   readonly effects: readonly SourceEffect[];
 };
 
+/** Least time between the starts of two polls. */
 export const askedSpanUs: Micros = 500_000;
-/** A reading that is older than this, and a part by rank, is nobody's care any more. */
+/** The poller counts as lost when its latest reading began this long ago; each node adds its own takeover delay. */
 export const staleReadUs: Micros = 1_200_000;
-/** So long a node that begins or wakes waits for news of partners, and a part by rank. */
+/** How long a node waits for readings of its peers after a start or a pause, before its takeover delay. */
 export const firstWaitUs: Micros = 400_000;
-const controlRankUs: Micros = 150_000;
-const routerRankUs: Micros = 450_000;
-const leastBackoffUs: Micros = 700_000;
-const mostBackoffUs: Micros = 4_000_000;
+const controlTakeoverUs: Micros = 150_000;
+const routerTakeoverUs: Micros = 450_000;
+const minBackoffUs: Micros = 700_000;
+const maxBackoffUs: Micros = 4_000_000;
 
-const partOf = (node: string): number => createHash('sha256').update(node).digest().readUInt16BE(0) / 65_536;
+const hashFraction = (node: string): number => createHash('sha256').update(node).digest().readUInt16BE(0) / 65_536;
 
-/** Core machines take over first, then routers, each at a moment of its own. */
+/** Takeover delay, derived from a hash of the name: control nodes take over first, then routers. */
 export const rankUsOf = (role: PartnerRole, node: string): Micros =>
   role === 'control'
-    ? Math.floor(partOf(node) * controlRankUs)
-    : controlRankUs + Math.floor(partOf(node) * routerRankUs);
+    ? Math.floor(hashFraction(node) * controlTakeoverUs)
+    : controlTakeoverUs + Math.floor(hashFraction(node) * routerTakeoverUs);
 
 export const startSourceView = (
   role: PartnerRole,
   node: string,
   atUs: Micros,
-  spanUs: Micros = askedSpanUs,
+  pollIntervalUs: Micros = askedSpanUs,
 ): SourceView => ({
   key: readerKeyOf({ role, node }),
   rankUs: rankUsOf(role, node),
-  spanUs: Math.max(askedSpanUs, spanUs),
+  spanUs: Math.max(askedSpanUs, pollIntervalUs),
   atUs,
   sinceUs: atUs,
   freshUs: undefined,
@@ -50,7 +51,7 @@
   errors: 0,
 });
 
-const stepped = (view: SourceView, ...effects: readonly SourceEffect[]): SourceStep => ({ view, effects });
+const withEffects = (view: SourceView, ...effects: readonly SourceEffect[]): SourceStep => ({ view, effects });
 
 const isDue = (view: SourceView): boolean => {
   if (view.askedUs !== undefined || view.atUs < view.notBeforeUs) return false;
@@ -62,52 +63,64 @@
 
 const backoffUs = ({ errors, rankUs }: SourceView, error: string): Micros =>
   error === 'over-rate'
-    ? Math.min(mostBackoffUs, leastBackoffUs * 2 ** Math.min(errors, 8)) + rankUs
+    ? Math.min(maxBackoffUs, minBackoffUs * 2 ** Math.min(errors, 8)) + rankUs
     : askedSpanUs + rankUs;
 
-/** Who has not run for a while knows nothing fresh, and leaves the asking to others at first. */
-const woken = (view: SourceView): SourceView => ({ ...view, sinceUs: view.atUs, freshUs: undefined, isAsker: false });
+/** After a pause of this process its latest reading is outdated and another node may be the poller: it steps down and waits. */
+const afterPause = (view: SourceView): SourceView => ({
+  ...view,
+  sinceUs: view.atUs,
+  freshUs: undefined,
+  isAsker: false,
+});
 
 const onHeard = (view: SourceView, by: string, ageUs: Micros): SourceStep => {
   const readUs = view.atUs - Math.max(0, ageUs);
-  if (by === view.key) return stepped(view);
+  if (by === view.key) return withEffects(view);
   const isFresh = ageUs <= staleReadUs;
-  return stepped({
+  return withEffects({
     ...view,
     freshUs: Math.max(view.freshUs ?? readUs, readUs),
     isAsker: view.isAsker && !(isFresh && by < view.key),
   });
 };
 
-/** The machine of each node that sees to it that some node asks the platform, and as a rule only one. */
+/**
+ * State machine by which the nodes elect the poller, the one node that polls the platform. A node takes over when it has
+ * heard of no fresh reading for a while, and steps down when a peer with a lesser key reports one. Two nodes may poll for a
+ * short time; the merge of lists tolerates that.
+ */
 export const stepSource = (view: SourceView, event: SourceEvent): SourceStep => {
-  const movedView = { ...view, atUs: Math.max(view.atUs, event.at) };
-  const nowView = event.at - view.atUs >= longestStepUs ? woken(movedView) : movedView;
+  const advanced = { ...view, atUs: Math.max(view.atUs, event.at) };
+  const current = event.at - view.atUs >= longestStepUs ? afterPause(advanced) : advanced;
   switch (event.type) {
     case 'tick':
-      return isDue(nowView)
-        ? stepped({ ...nowView, askedUs: nowView.atUs, notBeforeUs: nowView.atUs + nowView.spanUs }, { type: 'ask' })
-        : stepped(nowView);
+      return isDue(current)
+        ? withEffects(
+            { ...current, askedUs: current.atUs, notBeforeUs: current.atUs + current.spanUs },
+            { type: 'ask' },
+          )
+        : withEffects(current);
     case 'heard':
-      return onHeard(nowView, event.by, event.ageUs);
+      return onHeard(current, event.by, event.ageUs);
     case 'read': {
-      const readUs = nowView.askedUs ?? nowView.atUs;
-      const hadFresher = nowView.freshUs !== undefined && nowView.freshUs > readUs;
-      return stepped({
-        ...nowView,
+      const readUs = current.askedUs ?? current.atUs;
+      const hasLaterReading = current.freshUs !== undefined && current.freshUs > readUs;
+      return withEffects({
+        ...current,
         askedUs: undefined,
-        freshUs: hadFresher ? nowView.freshUs : readUs,
-        isAsker: nowView.isAsker || (!hadFresher && nowView.atUs <= readUs + staleReadUs),
+        freshUs: hasLaterReading ? current.freshUs : readUs,
+        isAsker: current.isAsker || (!hasLaterReading && current.atUs <= readUs + staleReadUs),
         errors: 0,
       });
     }
     case 'error':
-      return stepped({
-        ...nowView,
+      return withEffects({
+        ...current,
         askedUs: undefined,
         isAsker: false,
-        errors: nowView.errors + 1,
-        notBeforeUs: Math.max(nowView.notBeforeUs, nowView.atUs + backoffUs(nowView, event.error)),
+        errors: current.errors + 1,
+        notBeforeUs: Math.max(current.notBeforeUs, current.atUs + backoffUs(current, event.error)),
       });
   }
 };
--- a/src/servers/source/source-view.ts
+++ b/src/servers/source/source-view.ts
@@ -1,20 +1,25 @@
 import type { Micros } from '../../common/micros.js';
 
-/** What a node knows of who asks the platform, all moments on its steady clock. */
+/** One node's state in the election of the poller, the node that polls the platform. All times are of its monotonic clock. */
 export type SourceView = {
+  /** Key of this node among pollers; see `pollerKeyOf`. */
   readonly key: string;
-  /** By how much later than the first this node takes over. */
+  /** Delay after which this node takes over from a lost poller. It differs per node, so that one node takes over first. */
   readonly rankUs: Micros;
+  /** Time between the starts of two polls. */
   readonly spanUs: Micros;
+  /** Time of the last event. */
   readonly atUs: Micros;
-  /** Since when it has been waiting for a first reading. */
+  /** When this node began to wait for a first reading, after a start or a pause. */
   readonly sinceUs: Micros;
-  /** When the freshest reading that it knows began. */
+  /** When the latest known reading began. */
   readonly freshUs: Micros | undefined;
-  /** Whether it is the one that asks. */
+  /** Whether this node is the poller. */
   readonly isAsker: boolean;
-  /** When the reading that is under way began. */
+  /** When the poll under way began. */
   readonly askedUs: Micros | undefined;
+  /** This node starts no poll before this time. */
   readonly notBeforeUs: Micros;
+  /** Polls that failed in a row, for the backoff. */
   readonly errors: number;
 };
--- a/src/servers/watch/passive-watch.ts
+++ b/src/servers/watch/passive-watch.ts
@@ -5,12 +5,13 @@
 import type { ListedServer } from '../list/listed-server.js';
 import { serverKeyOf, type ServerKey } from '../list/server-key.js';
 
-/** Learns from the fleet's own exchanges whether servers can be reached; it dials only where something went wrong. */
+/** Passive health checks: derives the reachability of servers from failures of exchanges. Dials a server only after a failure. */
 export type PassiveWatch = {
+  /** Checks these servers and no others from now on. */
   readonly watch: (servers: readonly ListedServer[]) => void;
-  /** Something went wrong with a server: whether it can still be reached is found out by one dial. */
+  /** Reports a failed exchange: dials the server once to find out whether it is reachable. */
   readonly suspect: (key: ServerKey) => void;
-  /** No link to a server could be had. */
+  /** Reports a failed dial: the server is unreachable until a later dial succeeds. */
   readonly missed: (key: ServerKey) => void;
   readonly close: () => void;
 };
@@ -18,49 +19,53 @@
 export const leastRedialUs: Micros = 500_000;
 export const mostRedialUs: Micros = 2_000_000;
 
+/**
+ * Calls `notify` on each change of a server's reachability. Unreachable servers are dialed with exponential backoff; the
+ * link of a successful dial is passed to `keepLink`.
+ */
 export const openPassiveWatch = (
   dial: Dial,
   clock: Clock,
-  tell: (key: ServerKey, isLight: boolean) => void,
-  keep: (link: ServerLink) => void,
+  notify: (key: ServerKey, isReachable: boolean) => void,
+  keepLink: (link: ServerLink) => void,
 ): PassiveWatch => {
   const watched = new Map<ServerKey, ListedServer>();
-  const dark = new Map<ServerKey, () => void>();
-  const asked = new Set<ServerKey>();
+  const redials = new Map<ServerKey, () => void>();
+  const dialing = new Set<ServerKey>();
 
-  const darken = (key: ServerKey, afterUs: Micros): void => {
+  const markUnreachable = (key: ServerKey, afterUs: Micros): void => {
     if (!watched.has(key)) return;
-    const isNew = !dark.has(key);
-    dark.get(key)?.();
-    dark.set(
+    const isNew = !redials.has(key);
+    redials.get(key)?.();
+    redials.set(
       key,
       clock.after(afterUs, () => void redial(key, Math.min(mostRedialUs, afterUs * 2))),
     );
-    if (isNew) tell(key, false);
+    if (isNew) notify(key, false);
   };
 
-  const lighten = (key: ServerKey): void => {
-    const takeBack = dark.get(key);
-    if (takeBack === undefined) return;
-    takeBack();
-    dark.delete(key);
-    tell(key, true);
+  const markReachable = (key: ServerKey): void => {
+    const cancelRedial = redials.get(key);
+    if (cancelRedial === undefined) return;
+    cancelRedial();
+    redials.delete(key);
+    notify(key, true);
   };
 
   const redial = async (key: ServerKey, nextUs: Micros): Promise<void> => {
     const server = watched.get(key);
-    if (server === undefined || asked.has(key)) return;
-    asked.add(key);
+    if (server === undefined || dialing.has(key)) return;
+    dialing.add(key);
     const opened = await dial(server);
-    asked.delete(key);
+    dialing.delete(key);
     opened
       .ifRight((link) => {
         if (watched.has(key)) {
-          lighten(key);
-          keep(link);
+          markReachable(key);
+          keepLink(link);
         } else link.close();
       })
-      .ifLeft(() => darken(key, nextUs));
+      .ifLeft(() => markUnreachable(key, nextUs));
   };
 
   return {
@@ -68,21 +73,21 @@
       const listed = new Map(servers.map((server) => [serverKeyOf(server), server]));
       for (const key of [...watched.keys()]) {
         if (listed.has(key)) continue;
-        dark.get(key)?.();
-        dark.delete(key);
+        redials.get(key)?.();
+        redials.delete(key);
         watched.delete(key);
       }
       for (const [key, server] of listed) watched.set(key, server);
     },
     suspect: (key) => {
-      if (!dark.has(key)) void redial(key, leastRedialUs);
+      if (!redials.has(key)) void redial(key, leastRedialUs);
     },
     missed: (key) => {
-      if (!dark.has(key)) darken(key, leastRedialUs);
+      if (!redials.has(key)) markUnreachable(key, leastRedialUs);
     },
     close: () => {
-      for (const takeBack of dark.values()) takeBack();
-      dark.clear();
+      for (const cancelRedial of redials.values()) cancelRedial();
+      redials.clear();
       watched.clear();
     },
   };
