--- a/src/servers/link/open-link.ts
+++ b/src/servers/link/open-link.ts
@@ -30,7 +30,7 @@
   }
 };
 
-/** Whether a response is framed by a length or by chunks, so that a truncated body can be told from a whole one. */
+/** Whether a response is framed by a length or by chunks, so that a truncated body can be detected. */
 const isSelfDelimited = (headers: Readonly<Record<string, unknown>>): boolean =>
   headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
--- a/src/servers/source/source-machine.ts
+++ b/src/servers/source/source-machine.ts
@@ -87,7 +87,7 @@
 
 /**
  * State machine by which the nodes elect the poller, the one node that polls the platform. A node takes over when it has
- * heard of no fresh reading for a while, and steps down when a peer with a lesser key reports one. Two nodes may poll for a
+ * learned of no fresh reading for a while, and steps down when a peer with a lesser key reports one. Two nodes may poll for a
  * short time; the merge of lists tolerates that.
  */
 export const stepSource = (view: SourceView, event: SourceEvent): SourceStep => {
--- a/tests/servers/asking-group.ts
+++ b/tests/servers/asking-group.ts
@@ -20,15 +20,18 @@
   readonly spread: SpreadTask;
   readonly source: SourceTask;
   readonly counters: Counters;
-  /** The lists that it handed to its decisions. */
+  /** The lists that the node passed to its routing decisions. */
   readonly lists: ServerList[];
 };
 
-/** A platform whose list is asked for, as these tests have it. */
+/** A simulated platform whose server list is polled. */
 export type AskedPlatform = {
   servers: readonly ReadServer[];
+  /** Whether its responses contain all pages. */
   whole: boolean;
+  /** Whether it rejects every poll with a rate limit error. */
   refuses: boolean;
+  /** Nodes whose polls do not reach it. */
   readonly deaf: Set<string>;
   readonly calls: { readonly who: string; readonly atUs: number }[];
 };
@@ -42,9 +45,9 @@
   readonly add: (name: string) => AskingNode;
 };
 
-const readUs = 20_000;
+const responseDelayUs = 20_000;
 
-/** Nodes that ask and spread, in virtual time; a name that begins with c is a core machine's. */
+/** Nodes that poll and gossip, in virtual time. A node whose name begins with c is a control node. */
 export const openAskingGroup = (seed: number, names: readonly string[]): AskingGroup => {
   const world = openWorld(seed);
   const network = openNetwork(world);
@@ -56,14 +59,14 @@
   const add = (name: string): AskingNode => {
     const address = `${name}:1`;
     const sim = openSimNode(world);
-    const life = sim.begin();
+    const instance = sim.begin();
     const listSource: ListSource = {
       read: async () => {
         platform.calls.push({ who: name, atUs: world.now() });
         if (platform.refuses) return Left(typedError('over-rate', '429'));
         if (platform.deaf.has(name)) return Left(typedError('unreachable', 'cut off'));
         const { servers, whole } = platform;
-        await paused(life.clock, readUs);
+        await paused(instance.clock, responseDelayUs);
         return Right({ servers, whole });
       },
     };
@@ -72,7 +75,7 @@
         { world, network, ports, serverAt: () => undefined, note: () => undefined },
         name,
         address,
-        life,
+        instance,
       ),
       listSource,
     };
--- a/tests/servers/fold-reading.test.ts
+++ b/tests/servers/fold-reading.test.ts
@@ -5,7 +5,7 @@
 
 const second = 1_000_000;
 const startUs = 1_000_000 * second;
-const shown = (id: string, more: Partial<ReadServer> = {}): ReadServer => ({
+const serverWith = (id: string, more: Partial<ReadServer> = {}): ReadServer => ({
   id,
   service: 'model',
   address: '10.0.0.1:80',
@@ -15,9 +15,9 @@
 });
 const whole = (...servers: readonly ReadServer[]) => ({ servers, whole: true });
 
-test('a new server is stamped once, and its incarnation is its id where none is told', () => {
-  const first = foldReading(undefined, whole(shown('a')), startUs);
-  const next = foldReading(first, whole(shown('a'), shown('b')), startUs + second);
+test('a new server is stamped once, and its incarnation defaults to its id', () => {
+  const first = foldReading(undefined, whole(serverWith('a')), startUs);
+  const next = foldReading(first, whole(serverWith('a'), serverWith('b')), startUs + second);
   assert.equal(
     next.servers.map(({ id, incarnation, listedAtUs }) => [id, incarnation, listedAtUs]),
     [
@@ -28,23 +28,23 @@
   assert.ok(next.version > first.version);
 });
 
-test('a reading that shows nothing new leaves the list itself', () => {
-  const first = foldReading(undefined, whole(shown('a', { weights: 'w' })), startUs);
-  assert.is(foldReading(first, whole(shown('a', { weights: 'w' })), startUs + second), first);
+test('a reading without changes returns the same list object', () => {
+  const first = foldReading(undefined, whole(serverWith('a', { weights: 'w' })), startUs);
+  assert.is(foldReading(first, whole(serverWith('a', { weights: 'w' })), startUs + second), first);
 });
 
-test('leaving is stamped when first shown, and never taken back', () => {
-  const first = foldReading(undefined, whole(shown('a')), startUs);
-  const leaving = foldReading(first, whole(shown('a', { state: 'leaving' })), startUs + second);
+test('leaving is stamped by the first reading that shows it, and is never reverted', () => {
+  const first = foldReading(undefined, whole(serverWith('a')), startUs);
+  const leaving = foldReading(first, whole(serverWith('a', { state: 'leaving' })), startUs + second);
   assert.is(leaving.servers[0]?.leavingAtUs, startUs + second);
-  assert.is(foldReading(leaving, whole(shown('a', { state: 'leaving' })), startUs + 2 * second), leaving);
-  assert.is(foldReading(leaving, whole(shown('a')), startUs + 2 * second), leaving);
+  assert.is(foldReading(leaving, whole(serverWith('a', { state: 'leaving' })), startUs + 2 * second), leaving);
+  assert.is(foldReading(leaving, whole(serverWith('a')), startUs + 2 * second), leaving);
 });
 
-test('only a whole reading proves a server gone', () => {
-  const first = foldReading(undefined, whole(shown('a'), shown('b')), startUs);
-  assert.is(foldReading(first, { servers: [shown('a')], whole: false }, startUs + second), first);
-  const next = foldReading(first, whole(shown('a')), startUs + second);
+test('only a complete reading marks a missing server as gone', () => {
+  const first = foldReading(undefined, whole(serverWith('a'), serverWith('b')), startUs);
+  assert.is(foldReading(first, { servers: [serverWith('a')], whole: false }, startUs + second), first);
+  const next = foldReading(first, whole(serverWith('a')), startUs + second);
   assert.equal(
     next.servers.map(({ id, state, goneAtUs }) => [id, state, goneAtUs]),
     [
@@ -54,16 +54,16 @@
   );
 });
 
-test('a reading from before a server was listed does not prove it gone', () => {
-  const first = foldReading(undefined, whole(shown('a')), startUs);
-  const next = foldReading(first, whole(shown('a'), shown('b')), startUs + 2 * second);
-  const late = foldReading(next, whole(shown('a')), startUs + 4 * second, startUs + second);
+test('a reading that began before a server was listed does not mark it as gone', () => {
+  const first = foldReading(undefined, whole(serverWith('a')), startUs);
+  const next = foldReading(first, whole(serverWith('a'), serverWith('b')), startUs + 2 * second);
+  const late = foldReading(next, whole(serverWith('a')), startUs + 4 * second, startUs + second);
   assert.is(late, next);
 });
 
-test('a new id at an address is another server', () => {
-  const first = foldReading(undefined, whole(shown('a')), startUs);
-  const next = foldReading(first, whole(shown('b')), startUs + second);
+test('a new id at the address of a listed server is a new server', () => {
+  const first = foldReading(undefined, whole(serverWith('a')), startUs);
+  const next = foldReading(first, whole(serverWith('b')), startUs + second);
   assert.equal(
     next.servers.map(({ id, state, address }) => [id, state, address]),
     [
@@ -73,9 +73,9 @@
   );
 });
 
-test('weights that change are stamped anew', () => {
-  const first = foldReading(undefined, whole(shown('a', { weights: 'w1' })), startUs);
-  const next = foldReading(first, whole(shown('a', { weights: 'w2' })), startUs + second);
+test('a change of weights gets a new stamp', () => {
+  const first = foldReading(undefined, whole(serverWith('a', { weights: 'w1' })), startUs);
+  const next = foldReading(first, whole(serverWith('a', { weights: 'w2' })), startUs + second);
   assert.equal([next.servers[0]?.weights, next.servers[0]?.weightsAtUs], ['w2', startUs + second]);
   assert.ok(next.version > first.version);
 });
--- a/tests/servers/merge-lists.test.ts
+++ b/tests/servers/merge-lists.test.ts
@@ -11,7 +11,10 @@
 import { randomLists } from './random-lists.js';
 
 const startUs = 1_000_000_000_000;
-/** Two accounts that can not both be true: two origins of one id, or two weights of one moment; the digest alone tells them apart. */
+/**
+ * Whether two entries of one id contradict each other: different origins, or different weights with the same stamp. The
+ * version does not reflect such a difference, only the digest does.
+ */
 const isContradiction = (server: ListedServer, other: ListedServer): boolean =>
   server.id === other.id &&
   (server.address !== other.address || (server.weightsAtUs === other.weightsAtUs && server.weights !== other.weights));
@@ -31,7 +34,7 @@
   }
 });
 
-test('states only go on, stamps only move earlier, and the version rises when anything does', () => {
+test('states only advance, stamps only move earlier, and the version grows with every such change', () => {
   for (const { left, right } of triples) {
     const merged = mergeLists(left, right);
     for (const server of left.servers) {
@@ -43,11 +46,13 @@
       );
     }
     assert.ok(merged.version >= left.version && merged.version >= right.version);
-    const isTie = left.servers.some((server) => right.servers.some((other) => isContradiction(server, other)));
-    if (!isTie)
+    const hasContradiction = left.servers.some((server) =>
+      right.servers.some((other) => isContradiction(server, other)),
+    );
+    if (!hasContradiction)
       assert.is(merged.version > left.version, merged.digest !== left.digest || merged.version !== left.version);
-    if (merged.version === left.version && !isTie) {
-      const stamped = ({ servers }: AskedList) =>
+    if (merged.version === left.version && !hasContradiction) {
+      const stampsOf = ({ servers }: AskedList) =>
         servers.map(({ id, state, listedAtUs, leavingAtUs, goneAtUs, slots }) => ({
           id,
           state,
@@ -56,12 +61,12 @@
           goneAtUs,
           slots,
         }));
-      assert.equal(stamped(merged), stamped(left));
+      assert.equal(stampsOf(merged), stampsOf(left));
     }
   }
 });
 
-test('an earlier stamp alone makes the version rise', () => {
+test('an earlier stamp alone increases the version', () => {
   const late = askedListOf([serverOf('sa', startUs + 5_000)], startUs);
   const early = askedListOf([serverOf('sa', startUs)], startUs);
   const merged = mergeLists(late, early);
@@ -70,7 +75,7 @@
   assert.is(merged.version, early.version);
 });
 
-test('an old tombstone is dropped on both sides without the version going back or rising', () => {
+test('removing an expired tombstone does not change the version, and merging does not restore it', () => {
   const tombstone = serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs + 1_000 });
   const known = askedListOf([tombstone, serverOf('sb', startUs)], startUs);
   assert.is(withoutOldTombstones({ ...known, atUs: startUs + tombstoneUs }).servers.length, 2);
@@ -85,14 +90,14 @@
   assert.equal(mergeLists(merged, known), dropped);
 });
 
-test('a version holds for a side that never heard of a dropped tombstone', () => {
+test('merging with a list that never contained a removed tombstone does not decrease the version', () => {
   const tombstone = serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs });
   const known = askedListOf([tombstone, serverOf('sb', startUs)], startUs);
-  const stranger = askedListOf([serverOf('sb', startUs)], startUs + tombstoneUs, startUs + 1_000);
-  assert.ok(mergeLists(known, stranger).version >= known.version);
+  const listWithoutTombstone = askedListOf([serverOf('sb', startUs)], startUs + tombstoneUs, startUs + 1_000);
+  assert.ok(mergeLists(known, listWithoutTombstone).version >= known.version);
 });
 
-test('decisions do not see who is gone, and nodes take asked lists only when they hold', () => {
+test('tombstones are hidden from routing decisions, and invalid polled lists are rejected', () => {
   const list = askedListOf(
     [serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs }), serverOf('sb', startUs, { slots: 3 })],
     startUs,
@@ -105,7 +110,10 @@
   assert.ok(isAnyList(list));
   assert.not.ok(isAnyList({ ...list, digest: undefined }));
   assert.not.ok(isAnyList({ ...list, servers: [serverOf('sa', startUs, { state: 'gone' })] }));
-  assert.ok(checkList({ version: 1, atUs: 0, servers: list.servers }).isLeft(), 'a told list knows no tombstones');
+  assert.ok(
+    checkList({ version: 1, atUs: 0, servers: list.servers }).isLeft(),
+    'a pushed list must not contain tombstones',
+  );
 });
 
 test.run();
--- a/tests/servers/passive-watch.test.ts
+++ b/tests/servers/passive-watch.test.ts
@@ -12,21 +12,21 @@
 const server = serverOf('m1', 0);
 const key = serverKeyOf(server);
 
-const linkTo = (): ServerLink => ({
+const createLink = (): ServerLink => ({
   key,
   isOpen: () => true,
   close: () => undefined,
   confirm: () => Promise.resolve(true),
-  deliver: () => Promise.reject(new Error('not here')),
+  deliver: () => Promise.reject(new Error('not used in this test')),
 });
 
-/** A watch over one server whose dials succeed or not as told, on a clock that is turned by hand. */
-const openPlay = () => {
+/** Passive health checks of one server on a manual clock; dials succeed unless the server was taken down. */
+const createHarness = () => {
   let nowUs = 0;
-  let isThere = true;
+  let isUp = true;
   let dials = 0;
   let kept = 0;
-  const told: boolean[] = [];
+  const notifications: boolean[] = [];
   const waiting = new Set<{ readonly atUs: number; readonly act: () => void }>();
   const clock: Clock = {
     now: () => nowUs,
@@ -38,90 +38,90 @@
   };
   const dial: Dial = () => {
     dials += 1;
-    return Promise.resolve(isThere ? Right(linkTo()) : Left(typedError('link-error', 'nothing there')));
+    return Promise.resolve(isUp ? Right(createLink()) : Left(typedError('link-error', 'the test server is down')));
   };
-  const watch = openPassiveWatch(
+  const healthCheck = openPassiveWatch(
     dial,
     clock,
-    (_key, isLight) => void told.push(isLight),
+    (_key, isReachable) => void notifications.push(isReachable),
     () => {
       kept += 1;
     },
   );
-  watch.watch([server]);
-  const rest = async (): Promise<void> => {
+  healthCheck.watch([server]);
+  const flushMicrotasks = async (): Promise<void> => {
     for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
   };
   return {
-    watch,
-    told,
+    healthCheck,
+    notifications,
     dials: () => dials,
     kept: () => kept,
     waiting: () => waiting.size,
-    lose: () => {
-      isThere = false;
+    takeDown: () => {
+      isUp = false;
     },
-    mend: () => {
-      isThere = true;
+    bringUp: () => {
+      isUp = true;
     },
-    rest,
-    pass: async (spanUs: number): Promise<void> => {
+    flushMicrotasks,
+    advance: async (spanUs: number): Promise<void> => {
       nowUs += spanUs;
       for (const entry of [...waiting]) {
         if (entry.atUs > nowUs) continue;
         waiting.delete(entry);
         entry.act();
       }
-      await rest();
+      await flushMicrotasks();
     },
   };
 };
 
-test('a server that nothing went wrong with is never dialed', async () => {
-  const play = openPlay();
-  await play.pass(60_000_000);
-  assert.is(play.dials(), 0);
+test('a server without failures is never dialed', async () => {
+  const harness = createHarness();
+  await harness.advance(60_000_000);
+  assert.is(harness.dials(), 0);
 });
 
-test('a server that can not be reached is dark at once, is dialed at growing pauses, and is light when it answers', async () => {
-  const play = openPlay();
-  play.lose();
-  play.watch.missed(key);
-  assert.equal(play.told, [false]);
-  await play.pass(leastRedialUs);
-  await play.pass(leastRedialUs);
-  assert.is(play.dials(), 1, 'the second pause is longer');
-  await play.pass(leastRedialUs);
-  assert.is(play.dials(), 2);
-  play.mend();
-  await play.pass(mostRedialUs);
-  assert.equal(play.told, [false, true]);
-  assert.is(play.kept(), 1, 'the link of the dial is kept for exchanges');
-  await play.pass(60_000_000);
-  assert.is(play.dials(), 3);
+test('a server that cannot be dialed is unreachable at once, is redialed with backoff, and is reachable after a successful dial', async () => {
+  const harness = createHarness();
+  harness.takeDown();
+  harness.healthCheck.missed(key);
+  assert.equal(harness.notifications, [false]);
+  await harness.advance(leastRedialUs);
+  await harness.advance(leastRedialUs);
+  assert.is(harness.dials(), 1, 'the second delay is longer');
+  await harness.advance(leastRedialUs);
+  assert.is(harness.dials(), 2);
+  harness.bringUp();
+  await harness.advance(mostRedialUs);
+  assert.equal(harness.notifications, [false, true]);
+  assert.is(harness.kept(), 1, 'the link of the successful dial is kept for exchanges');
+  await harness.advance(60_000_000);
+  assert.is(harness.dials(), 3);
 });
 
-test('a broken exchange is followed by one dial, and a server that answers it stays light', async () => {
-  const play = openPlay();
-  play.watch.suspect(key);
-  play.watch.suspect(key);
-  await play.rest();
-  assert.is(play.dials(), 1);
-  assert.equal(play.told, []);
-  play.lose();
-  play.watch.suspect(key);
-  await play.rest();
-  assert.equal(play.told, [false]);
+test('a failed exchange triggers one dial, and a server that accepts it stays reachable', async () => {
+  const harness = createHarness();
+  harness.healthCheck.suspect(key);
+  harness.healthCheck.suspect(key);
+  await harness.flushMicrotasks();
+  assert.is(harness.dials(), 1);
+  assert.equal(harness.notifications, []);
+  harness.takeDown();
+  harness.healthCheck.suspect(key);
+  await harness.flushMicrotasks();
+  assert.equal(harness.notifications, [false]);
 });
 
-test('a server that leaves the list is asked for no more', async () => {
-  const play = openPlay();
-  play.lose();
-  play.watch.missed(key);
-  play.watch.watch([]);
-  assert.is(play.waiting(), 0);
-  await play.pass(60_000_000);
-  assert.is(play.dials(), 0);
+test('a server that is removed from the list is not redialed', async () => {
+  const harness = createHarness();
+  harness.takeDown();
+  harness.healthCheck.missed(key);
+  harness.healthCheck.watch([]);
+  assert.is(harness.waiting(), 0);
+  await harness.advance(60_000_000);
+  assert.is(harness.dials(), 0);
 });
 
 test.run();
