--- a/src/quota/reserve/choose-store.ts
+++ b/src/quota/reserve/choose-store.ts
@@ -3,8 +3,8 @@
 import type { QuotaReserveState, TenantReserve } from './quota-reserve-state.js';
 
 const isKnownExhausted = (reserve: TenantReserve, store: string, needed: number, nowUs: Micros): boolean => {
-  const dry = reserve.dry.get(store);
-  return dry !== undefined && nowUs < dry.untilUs && needed >= dry.needed;
+  const refusal = reserve.dry.get(store);
+  return refusal !== undefined && nowUs < refusal.untilUs && needed >= refusal.needed;
 };
 
 const remainingAt = (reserve: TenantReserve, store: string): number => reserve.dry.get(store)?.left ?? 0;
--- a/src/quota/reserve/quota-reserve-effect.ts
+++ b/src/quota/reserve/quota-reserve-effect.ts
@@ -14,4 +14,5 @@
       readonly cause: 'over-quota' | 'quota-unavailable';
       readonly retryAfterUs: Micros;
     }
+  /** Send a quota request to a store; the store's reply repeats the number `ask`. */
   | { readonly type: 'ask'; readonly ask: number; readonly store: string; readonly request: QuotaRequest };
--- a/src/quota/reserve/quota-reserve-state.ts
+++ b/src/quota/reserve/quota-reserve-state.ts
@@ -58,6 +58,7 @@
   /** Stores that did not reply, or may not grant, and until when they are skipped. */
   readonly suspects: ReadonlyMap<string, Micros>;
   readonly reserves: PersistentMap<string, TenantReserve>;
+  /** The pending quota requests by number. */
   readonly asks: PersistentMap<number, RunningAsk>;
   readonly nextAsk: number;
   /** When a store last granted or refused tokens; 0 if none has. */
--- a/src/quota/reserve/step-quota-reserve.ts
+++ b/src/quota/reserve/step-quota-reserve.ts
@@ -54,12 +54,16 @@
   at: Micros,
 ): { readonly reserve: TenantReserve; readonly effects: readonly QuotaReserveEffect[] } => {
   const effects: QuotaReserveEffect[] = [];
-  let left = reserve;
-  for (let [first] = left.waiting; first !== undefined && tokensOf(left) >= first.cost; [first] = left.waiting) {
+  let current = reserve;
+  for (
+    let [first] = current.waiting;
+    first !== undefined && tokensOf(current) >= first.cost;
+    [first] = current.waiting
+  ) {
     effects.push({ type: 'admit', request: first.request, source: 'store' });
-    left = { ...withSpent(left, first.cost, at), waiting: left.waiting.slice(1) };
+    current = { ...withSpent(current, first.cost, at), waiting: current.waiting.slice(1) };
   }
-  return { reserve: left, effects };
+  return { reserve: current, effects };
 };
 
 /**
@@ -74,8 +78,8 @@
 ): boolean => {
   if (state.answeredUs === 0 || at - state.answeredUs > creditWindowUs) return false;
   const allowed = (spendingRateOf(reserve, state.answeredUs) * creditWindowUs) / secondUs;
-  const lot = positionOf(`${state.node} ${request}`) / positionEnd;
-  return reserve.credit + lot * cost <= allowed;
+  const hashFraction = positionOf(`${state.node} ${request}`) / positionEnd;
+  return reserve.credit + hashFraction * cost <= allowed;
 };
 
 const idleRound = { ask: undefined, asked: [], isExhausted: false, isCollecting: false } as const;
@@ -83,15 +87,15 @@
 /** Ends the round: waiting requests are rejected if a store is exhausted, else admitted on credit while that lasts. */
 const endRound = (state: QuotaReserveState, tenant: string, reserve: TenantReserve, at: Micros): QuotaReserveStep => {
   const effects: QuotaReserveEffect[] = [];
-  let left: TenantReserve = { ...reserve, ...idleRound, waiting: [] };
+  let current: TenantReserve = { ...reserve, ...idleRound, waiting: [] };
   for (const waiting of reserve.waiting) {
-    const refillUs = earliestRefillUs(reserve, waiting.cost, at);
-    if (reserve.isExhausted || refillUs !== undefined) {
-      const retryAfterUs = Math.max(minRetryAfterUs, (refillUs ?? at + unavailableRetryAfterUs) - at);
+    const retryAtUs = earliestRefillUs(reserve, waiting.cost, at);
+    if (reserve.isExhausted || retryAtUs !== undefined) {
+      const retryAfterUs = Math.max(minRetryAfterUs, (retryAtUs ?? at + unavailableRetryAfterUs) - at);
       effects.push({ type: 'reject', request: waiting.request, cause: 'over-quota', retryAfterUs });
-    } else if (canUseCredit(state, left, waiting, at)) {
+    } else if (canUseCredit(state, current, waiting, at)) {
       effects.push({ type: 'admit', request: waiting.request, source: 'credit' });
-      left = { ...left, credit: left.credit + waiting.cost };
+      current = { ...current, credit: current.credit + waiting.cost };
     } else
       effects.push({
         type: 'reject',
@@ -100,7 +104,7 @@
         retryAfterUs: unavailableRetryAfterUs,
       });
   }
-  return { state: withReserve(state, tenant, left), effects };
+  return { state: withReserve(state, tenant, current), effects };
 };
 
 /** Sends a quota request for what the first waiting request lacks to the next store. Ends the round if no store or time is left. */
@@ -120,20 +124,20 @@
       ? requestFromNextStore(state, tenant, { ...reserve, asked: [], isCollecting: true }, at)
       : endRound(state, tenant, reserve, at);
   }
-  const behind = reserve.waiting.slice(1).reduce((sum, { cost }) => sum + cost, 0);
-  const ahead = (spendingRateOf(reserve, at) * lookAheadUs) / secondUs;
+  const waitingCost = reserve.waiting.slice(1).reduce((sum, { cost }) => sum + cost, 0);
+  const expectedSpend = (spendingRateOf(reserve, at) * lookAheadUs) / secondUs;
   const ask: RunningAsk = { tenant, store, needed, askedUs: at, dueUs: Math.min(at + replyTimeoutUs, first.dueUs) };
-  const askingState = withReserve(state, tenant, {
+  const pendingState = withReserve(state, tenant, {
     ...reserve,
     ask: state.nextAsk,
     asked: [...reserve.asked, store],
   });
   return {
     state: {
-      ...askingState,
-      asks: askingState.asks.set(state.nextAsk, ask),
+      ...pendingState,
+      asks: pendingState.asks.set(state.nextAsk, ask),
       nextAsk: state.nextAsk + 1,
-      wakeUs: Math.min(askingState.wakeUs, ask.dueUs),
+      wakeUs: Math.min(pendingState.wakeUs, ask.dueUs),
     },
     effects: [
       {
@@ -143,7 +147,7 @@
         request: {
           tenant,
           needed: Math.ceil(needed),
-          wanted: Math.ceil(needed + behind + ahead),
+          wanted: Math.ceil(needed + waitingCost + expectedSpend),
           takesPart: reserve.isCollecting,
         },
       },
@@ -236,9 +240,9 @@
   if (reserve.ask !== id)
     return withoutEffects(at >= ask.askedUs + lateReplyWindowUs ? { ...state, asks: state.asks.delete(id) } : state);
   const suspectState = withSuspect(state, ask.store, at + suspectUs);
-  const late: RunningAsk = { ...ask, dueUs: ask.askedUs + lateReplyWindowUs };
+  const timedOut: RunningAsk = { ...ask, dueUs: ask.askedUs + lateReplyWindowUs };
   return requestFromNextStore(
-    { ...suspectState, asks: suspectState.asks.set(id, late) },
+    { ...suspectState, asks: suspectState.asks.set(id, timedOut) },
     ask.tenant,
     { ...reserve, ask: undefined },
     at,
--- a/src/servers/source/source-machine.ts
+++ b/src/servers/source/source-machine.ts
@@ -61,10 +61,10 @@
     : view.atUs > view.freshUs + staleReadUs + view.rankUs;
 };
 
-const backoffUs = ({ errors, rankUs }: SourceView, error: string): Micros =>
+const backoffUs = ({ errors, rankUs: delayUs }: SourceView, error: string): Micros =>
   error === 'over-rate'
-    ? Math.min(maxBackoffUs, minBackoffUs * 2 ** Math.min(errors, 8)) + rankUs
-    : askedSpanUs + rankUs;
+    ? Math.min(maxBackoffUs, minBackoffUs * 2 ** Math.min(errors, 8)) + delayUs
+    : askedSpanUs + delayUs;
 
 /** After a pause of this process its latest reading is outdated and another node may be the poller: it steps down and waits. */
 const afterPause = (view: SourceView): SourceView => ({
