--- a/src/quota/reserve/quota-reserve-state.ts
+++ b/src/quota/reserve/quota-reserve-state.ts
@@ -35,7 +35,7 @@
   readonly dry: ReadonlyMap<string, DryStore>;
   /** The store that granted last. */
   readonly preferred: string | undefined;
-  /** Sum of the tokens spent, decaying exponentially with time, as of `recentSpendAtUs`. */
+  /** Sum of the tokens spent, decaying exponentially with time, as of `spentAtUs`. */
   readonly spent: number;
   readonly spentAtUs: Micros;
   /** Tokens spent on credit since a store last answered. */
