--- a/src/servers/source/read-mark.ts
+++ b/src/servers/source/read-mark.ts
@@ -1,5 +1,5 @@
 import type { Micros } from '../../common/micros.js';
-import type { PartnerRole } from '../../spread/partner/partner-role.js';
+import type { PeerRole } from '../../spread/peer/peer-role.js';
 
 /** Identifies a complete reading: when it began, on the fleet's clock, and the key of the node that made it. */
 export type ReadMark = {
@@ -8,7 +8,7 @@
 };
 
 /** Key by which competing pollers are ordered; the lesser key wins: control nodes before routers, then by name. */
-export const readerKeyOf = ({ role, node }: { readonly role: PartnerRole; readonly node: string }): string =>
+export const readerKeyOf = ({ role, node }: { readonly role: PeerRole; readonly node: string }): string =>
   `${role}/${node}`;
 
 /** The later of two stamps; at the same moment, that of the lesser key. */
--- a/src/servers/source/source-machine.ts
+++ b/src/servers/source/source-machine.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { longestStepUs } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
-import type { PartnerRole } from '../../spread/partner/partner-role.js';
+import type { PeerRole } from '../../spread/peer/peer-role.js';
 import { readerKeyOf } from './read-mark.js';
 import type { SourceEvent } from './source-event.js';
 import type { SourceView } from './source-view.js';
@@ -28,13 +28,13 @@
 const hashFraction = (node: string): number => createHash('sha256').update(node).digest().readUInt16BE(0) / 65_536;
 
 /** Takeover delay, derived from a hash of the name: control nodes take over first, then routers. */
-export const rankUsOf = (role: PartnerRole, node: string): Micros =>
+export const rankUsOf = (role: PeerRole, node: string): Micros =>
   role === 'control'
     ? Math.floor(hashFraction(node) * controlTakeoverUs)
     : controlTakeoverUs + Math.floor(hashFraction(node) * routerTakeoverUs);
 
 export const startSourceView = (
-  role: PartnerRole,
+  role: PeerRole,
   node: string,
   atUs: Micros,
   pollIntervalUs: Micros = askedSpanUs,
