--- a/tests/mutants/router-mutants.ts
+++ b/tests/mutants/router-mutants.ts
@@ -55,7 +55,7 @@
   {
     name: 'a quota store that begins again begins full',
     file: 'src/quota/store/step-quota-store.ts',
-    find: 'const first = state.isConfigured ? fullBucket(limits, at) : refilled(bucketEmptyAt(state.startedUs), limits, at);',
+    find: 'const first = state.isConfigured ? fullBucket(limits, at) : refillBucket(emptyBucket(state.startedUs), limits, at);',
     put: 'const first = fullBucket(limits, at);',
     by: test('tests/quota/quota-store.test.js'),
   },
--- a/tests/mutants/spread-mutants.ts
+++ b/tests/mutants/spread-mutants.ts
@@ -40,7 +40,7 @@
   },
   {
     name: "a server's identity is not confirmed",
-    file: 'src/servers/link/confirm-identity.ts',
+    file: 'src/servers/link/verify-identity.ts',
     find: 'id === server.id && incarnation === server.incarnation && service === server.service',
     put: 'id.length + incarnation.length + service.length > 0',
     by: seeds('fleet', 'allowed-service', 20),
