--- a/src/process/router/fleet-news.ts
+++ b/src/process/router/fleet-news.ts
@@ -7,64 +7,66 @@
 import type { Counters } from '../counters.js';
 import type { SpreadTask } from '../spread-task.js';
 
-/** What a router tells the other routers of servers, as far as that helps them. */
+/** Sends this router's observations of servers to the other routers of the fleet. */
 export type FleetNews = {
-  /** A server was given so many tokens to read, and is then busy for so long, as far as is known here. */
+  /** Reports `tokens` of prefill sent to a server; `busyUs` is the estimated time until the server is free again. */
   readonly work: (server: ServerKey, service: string, tokens: number, busyUs: Micros) => void;
+  /** Reports a failed attempt at a server; rate-limited per server. */
   readonly failure: (server: ServerKey, cause: FailureCause) => void;
-  /** A server has told its load here. */
+  /** Reports the load that a server returned, if the server is saturated; rate-limited per server. */
   readonly load: (server: ServerKey, load: ServerLoad) => void;
-  /** Another router has told a load: it need not be told again soon. */
+  /** Notes that another router has reported the load of a server, which suppresses own reports for the same interval. */
   readonly heardLoad: (server: ServerKey) => void;
 };
 
-/** Work that leaves its server free again sooner than this is not told of: word of it would hardly come before its end. */
-const leastToldBusyUs: Micros = 100_000;
-const mostTold = 100;
-/** One router tells of failures of one server no more often than this. */
-const failureSpanUs: Micros = 400_000;
-/** Crowded servers are told of no more often than this, whoever has told it last. */
-const loadSpanUs: Micros = 300_000;
+/** Shorter work is not reported: it would mostly be finished before the report arrives. */
+const minReportedBusyUs: Micros = 100_000;
+/** Limits the fan-out of one report. */
+const maxReportedRouters = 100;
+/** The minimum interval between reports by one router of failures of the same server. */
+const failureReportIntervalUs: Micros = 400_000;
+/** The minimum interval between reports of the load of the same server by any router. */
+const loadReportIntervalUs: Micros = 300_000;
 
-/** Opens the news of one router. */
+/** Opens the reports of one router. */
 export const openFleetNews = (
   spread: Pick<SpreadTask, 'view' | 'send'>,
   clock: Clock,
   counters: Counters,
 ): FleetNews => {
-  const toldFailures = new Map<ServerKey, Micros>();
-  const toldLoads = new Map<ServerKey, Micros>();
+  const failureReportedUs = new Map<ServerKey, Micros>();
+  const loadReportedUs = new Map<ServerKey, Micros>();
 
   const routers = () => [...spread.view().partners.values()].filter(({ partner }) => partner.role === 'router');
 
-  const tell = (frame: Frame): void => {
-    for (const { partner } of routers().slice(0, mostTold)) spread.send(partner.address, frame);
+  const broadcast = (frame: Frame): void => {
+    for (const { partner } of routers().slice(0, maxReportedRouters)) spread.send(partner.address, frame);
   };
 
-  /** Whether a span has passed since a server was last told of; notes that it is told of now. */
-  const isDue = (told: Map<ServerKey, Micros>, server: ServerKey, span: Micros): boolean => {
+  /** Whether the interval since the last report of a server has passed; if so, records a report at the current time. */
+  const recordIfDue = (reportedUs: Map<ServerKey, Micros>, server: ServerKey, intervalUs: Micros): boolean => {
     const nowUs = clock.now();
-    if (nowUs - (told.get(server) ?? Number.NEGATIVE_INFINITY) < span) return false;
-    told.set(server, nowUs);
+    if (nowUs - (reportedUs.get(server) ?? Number.NEGATIVE_INFINITY) < intervalUs) return false;
+    reportedUs.set(server, nowUs);
     return true;
   };
 
   return {
     work: (server, service, tokens, busyUs) => {
-      if (tokens === 0 || busyUs < leastToldBusyUs) return;
+      if (tokens === 0 || busyUs < minReportedBusyUs) return;
       counters.count('work.told');
-      tell({ type: 'work', server, service, tokens });
+      broadcast({ type: 'work', server, service, tokens });
     },
     failure: (server, cause) => {
-      if (!isDue(toldFailures, server, failureSpanUs)) return;
+      if (!recordIfDue(failureReportedUs, server, failureReportIntervalUs)) return;
       counters.count('failures.told');
-      tell({ type: 'server-failure', server, cause });
+      broadcast({ type: 'server-failure', server, cause });
     },
     load: (server, load) => {
-      if (!isCrowdedBy(load) || !isDue(toldLoads, server, loadSpanUs)) return;
+      if (!isCrowdedBy(load) || !recordIfDue(loadReportedUs, server, loadReportIntervalUs)) return;
       counters.count('loads.told');
-      tell({ type: 'server-load', server, ...load });
+      broadcast({ type: 'server-load', server, ...load });
     },
-    heardLoad: (server) => void toldLoads.set(server, clock.now()),
+    heardLoad: (server) => void loadReportedUs.set(server, clock.now()),
   };
 };
--- a/src/process/router/serve-router.ts
+++ b/src/process/router/serve-router.ts
@@ -3,7 +3,7 @@
 import { addExchangePaths } from './exchange-paths.js';
 import type { RouterNode } from './router-node.js';
 
-/** The HTTP side of a router node: callers and the platform. */
+/** Sets up the HTTP server of a router node, with the routes for clients and for the platform; it does not listen yet. */
 export const serveRouter = (node: RouterNode, address: string): HttpServer => {
   const http = openHttpServer(address, node.counters);
   node.spread.events.on('setup', ({ setup }) => {
--- a/src/process/router/ticks.ts
+++ b/src/process/router/ticks.ts
@@ -2,57 +2,57 @@
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
 
-/** Lets time pass for the decision machine. */
+/** Schedules the ticks that advance the time of the decision machine. */
 export type Ticks = {
-  /** Plans the next tick anew, after something has happened. */
+  /** Moves the next tick forward if a timer of the machine is now due earlier; call after each event. */
   readonly plan: () => void;
   readonly start: () => void;
   readonly close: () => void;
 };
 
-/** How often time passes for the decision machine where none of its waits ends sooner. */
-const restTickUs: Micros = 100_000;
-/** Waits that end closer together than this are looked after at once. */
-const leastTickUs: Micros = 5_000;
-/** A tick that is later than this was held up by the process itself, or by its processor. */
-const usualLatenessUs: Micros = 20_000;
+/** The longest interval between ticks. */
+const maxTickIntervalUs: Micros = 100_000;
+/** The shortest interval between ticks; timers due within it are handled by one tick. */
+const minTickIntervalUs: Micros = 5_000;
+/** Lateness beyond this is attributed to a stall of this process or its processor. */
+const toleratedLatenessUs: Micros = 20_000;
 
 /**
- * Ticks fall with all other periodic work of the process, or sooner where a wait ends sooner. `tick` is told the moment,
- * and for how long the process itself held the tick up.
+ * Opens the ticks of one machine. They coincide with the other periodic work of the process, or come earlier if a timer of the
+ * machine is due. `tick` gets the current time and by how much a stall of the process delayed it.
  */
 export const openTicks = (clock: Clock, wakeUs: () => Micros, tick: (nowUs: Micros, lateUs: Micros) => void): Ticks => {
-  let takeBack = (): void => undefined;
+  let cancelTimer = (): void => undefined;
   let plannedUs = Number.POSITIVE_INFINITY;
-  let isTicking = false;
+  let isStarted = false;
 
   const run = (): void => {
     const nowUs = clock.now();
-    const lateUs = Math.max(0, nowUs - plannedUs - usualLatenessUs);
+    const lateUs = Math.max(0, nowUs - plannedUs - toleratedLatenessUs);
     plannedUs = Number.POSITIVE_INFINITY;
     tick(nowUs, lateUs);
   };
 
-  const plan = (): void => {
-    if (!isTicking) return;
+  const scheduleNext = (): void => {
+    if (!isStarted) return;
     const nowUs = clock.now();
-    const restUs = nowUs + untilNextMultiple(nowUs, restTickUs);
-    const dueUs = Math.min(restUs, Math.max(nowUs + leastTickUs, wakeUs()));
+    const latestUs = nowUs + untilNextMultiple(nowUs, maxTickIntervalUs);
+    const dueUs = Math.min(latestUs, Math.max(nowUs + minTickIntervalUs, wakeUs()));
     if (dueUs >= plannedUs) return;
-    takeBack();
+    cancelTimer();
     plannedUs = dueUs;
-    takeBack = clock.after(dueUs - nowUs, run);
+    cancelTimer = clock.after(dueUs - nowUs, run);
   };
 
   return {
-    plan,
+    plan: scheduleNext,
     start: () => {
-      isTicking = true;
-      plan();
+      isStarted = true;
+      scheduleNext();
     },
     close: () => {
-      isTicking = false;
-      takeBack();
+      isStarted = false;
+      cancelTimer();
     },
   };
 };
