--- a/src/router/delivery/caller-link.ts
+++ b/src/router/delivery/caller-link.ts
@@ -2,19 +2,26 @@
 import type { TypedError } from '../../common/typed-error.js';
 import type { Micros } from '../../common/micros.js';
 
-/** The way back to the caller of one exchange. The first of the last words ends it. */
+/**
+ * The response side of one exchange, towards the client that sent the request. One of `end`, `sendResponse`, `refuse`,
+ * `answerUnknown` and `abort` completes the response.
+ */
 export type CallerLink = {
+  /** Set where the response is forwarded unparsed; used instead of `writePiece`, `end` and `sendResponse`. */
   readonly opaque?: OpaqueCaller;
   readonly isGone: () => boolean;
-  /** Calls back when the caller went away before the last word. */
-  readonly onGone: (act: () => void) => void;
-  /** Gives a line of the stream on and waits for room; false when the caller is gone. */
+  /** Registers a callback for a client that disconnects before the response is complete. */
+  readonly onGone: (callback: () => void) => void;
+  /** Writes one line of a streamed response and waits for backpressure; false if the client has disconnected. */
   readonly piece: (exchange: string, line: string) => Promise<boolean>;
+  /** Completes a streamed response of `pieces` pieces. */
   readonly end: (exchange: string, pieces: number) => void;
+  /** Sends a complete response that is not streamed. */
   readonly receipt: (exchange: string, text: string) => void;
-  /** It did not run and never will. */
+  /** Answers that the exchange did not run and never will. */
   readonly refuse: (error: TypedError, exchange?: string, retryAfterUs?: Micros) => void;
-  /** It may have run. */
+  /** Answers that the exchange may have run. */
   readonly unknown: (error: TypedError, facts: Readonly<Record<string, string>>) => void;
+  /** Aborts the response so that the client sees it as incomplete. */
   readonly breakOff: () => void;
 };
--- a/src/router/delivery/carry.ts
+++ b/src/router/delivery/carry.ts
@@ -6,39 +6,42 @@
 import type { Continuation } from '../exchange/continuation.js';
 import type { DeliveryEnd } from './delivery-end.js';
 
-/** What a try of an opaque exchange tells while it runs. */
+/** Callbacks of an attempt of an opaque exchange while it runs. */
 export type CarryEvents = {
-  /** The first sign that the server works on it, or a further one. */
+  /** The response has begun, or a further piece of it was forwarded. */
   readonly piece: () => void;
-  /** The server has told its load. */
+  /** The server reported its load in the response headers. */
   readonly load: (load: ServerLoad) => void;
 };
 
-/** Receipts up to this size are taken in whole before any of it is given on, so that a broken one can be tried again. */
-const mostWholeBytes = 1 << 18;
+/** Unstreamed responses up to this size are buffered whole before they are forwarded, so that a broken one can be retried. */
+const maxBufferedBytes = 1 << 18;
 
 const isSuccess = (head: CarriedHead): boolean => head.status >= 200 && head.status < 300;
 
-/** Runs one try of an opaque exchange over one link. After an error the link is closed. */
+/**
+ * Runs one attempt of an opaque exchange over one link: forwards the response as it arrives, without parsing it. The link is
+ * closed unless the attempt is done.
+ */
 export const carry = (
   continuation: Continuation,
   link: ServerLink,
-  carryOver: NonNullable<ServerLink['carry']>,
+  startCarriage: NonNullable<ServerLink['carry']>,
   order: OpaqueOrder,
   signal: AbortSignal,
-  { piece: tellPiece, load: tellLoad }: CarryEvents,
+  { piece: onPiece, load: onLoad }: CarryEvents,
 ): Promise<DeliveryEnd> =>
   new Promise((resolve) => {
     const { caller, stream, rule } = continuation;
     const { opaque } = caller;
-    const keptBytes: Uint8Array[] = [];
-    let keptSize = 0;
+    const buffered: Uint8Array[] = [];
+    let bufferedBytes = 0;
     let head: CarriedHead | undefined;
-    let isPassing = false;
-    let isOver = false;
+    let isForwarding = false;
+    let hasEnded = false;
     const finish = (end: DeliveryEnd): void => {
-      if (isOver) return;
-      isOver = true;
+      if (hasEnded) return;
+      hasEnded = true;
       signal.removeEventListener('abort', abort);
       if (end.type !== 'done') link.close();
       resolve(end);
@@ -54,68 +57,68 @@
       carriage.pause();
       opaque.onRoom(() => carriage.resume());
     };
-    const pass = (passedHead: CarriedHead): void => {
-      isPassing = true;
+    const startForwarding = (passedHead: CarriedHead): void => {
+      isForwarding = true;
       if (stream.pieces === 0) opaque?.begin(passedHead);
-      for (const bytes of keptBytes.splice(0)) write(bytes);
+      for (const bytes of buffered.splice(0)) write(bytes);
     };
-    const carriage = carryOver(order, {
+    const carriage = startCarriage(order, {
       head: (given) => {
-        if (isOver) return;
+        if (hasEnded) return;
         head = given;
-        if (given.load !== undefined) tellLoad(given.load);
+        if (given.load !== undefined) onLoad(given.load);
         if (!given.ran) return;
         if (!isSuccess(given)) return;
         if (!given.sealed) {
           carriage.cancel();
-          fail('bad-stream', 'a success without the mark of its server');
+          fail('bad-stream', 'success response without the seal of its server');
         }
       },
       piece: (bytes, number) => {
-        if (isOver || head === undefined) return;
+        if (hasEnded || head === undefined) return;
         if (isSuccess(head) && head.ran && rule.streams === true) {
-          if (!isPassing) pass(head);
+          if (!isForwarding) startForwarding(head);
           if (number !== undefined && stream.lastPiece !== undefined && number <= stream.lastPiece) {
             carriage.cancel();
-            fail('bad-stream', `piece ${number} came after piece ${stream.lastPiece}`);
+            fail('bad-stream', `piece ${number} received after piece ${stream.lastPiece}`);
             return;
           }
           stream.lastPiece = number ?? stream.lastPiece;
           stream.pieces += 1;
           write(bytes);
-          tellPiece();
+          onPiece();
           return;
         }
-        if (isPassing) {
+        if (isForwarding) {
           write(bytes);
           return;
         }
-        keptBytes.push(bytes);
-        keptSize += bytes.length;
-        if (keptSize <= mostWholeBytes) return;
+        buffered.push(bytes);
+        bufferedBytes += bytes.length;
+        if (bufferedBytes <= maxBufferedBytes) return;
         if (isSuccess(head) && head.ran) {
-          pass(head);
+          startForwarding(head);
           stream.pieces += 1;
-          tellPiece();
+          onPiece();
         } else {
           carriage.cancel();
-          fail('server-error', 'a refusal of no end');
+          fail('server-error', 'error response exceeds the buffer limit');
         }
       },
       end: () => {
-        if (isOver || head === undefined) return;
+        if (hasEnded || head === undefined) return;
         if (!head.ran) {
           fail('turned-away', `status ${head.status}`, true);
           return;
         }
         if (!isSuccess(head)) {
-          stream.refusal = { head, body: Buffer.concat(keptBytes) };
+          stream.refusal = { head, body: Buffer.concat(buffered) };
           fail('server-error', `status ${head.status}`);
           return;
         }
-        if (isPassing) opaque?.end();
+        if (isForwarding) opaque?.end();
         else if (stream.pieces > 0) opaque?.end();
-        else opaque?.whole(head, Buffer.concat(keptBytes));
+        else opaque?.whole(head, Buffer.concat(buffered));
         finish({ type: 'done', rest: Promise.resolve(true) });
       },
       lost: (message) => fail('link-lost', message),
--- a/src/router/delivery/delivery-end.ts
+++ b/src/router/delivery/delivery-end.ts
@@ -1,8 +1,10 @@
 import type { DeliveryError } from '../../decision/machine/event/delivery-error.js';
 
-/** How a try ended. */
+/** The result of one attempt at one server. */
 export type DeliveryEnd =
-  /** `rest` tells whether the link is clean for another exchange. */
+  /** `rest` resolves to whether the connection can be reused for another exchange. */
   | { readonly type: 'done'; readonly rest: Promise<boolean> }
+  /** The client has disconnected, or the attempt was cancelled. */
   | { readonly type: 'gone' }
+  /** `notRun`: the server confirmed that it did not run the exchange. */
   | { readonly type: 'failed'; readonly error: DeliveryError; readonly message: string; readonly notRun?: boolean };
--- a/src/router/exchange/running-try.ts
+++ b/src/router/exchange/running-try.ts
@@ -1,6 +1,6 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 
-/** The try of an exchange that runs now. */
+/** The current attempt of an exchange at a server. */
 export type RunningTry = {
   readonly attempt: number;
   readonly server: ServerKey;
--- a/src/router/explain/exchange-story.ts
+++ b/src/router/explain/exchange-story.ts
@@ -1,13 +1,13 @@
 import type { Micros } from '../../common/micros.js';
 
-/** One thing that happened to an exchange. */
+/** One event of an exchange: `what` is its kind, `facts` its attributes. */
 export type StoryStep = {
   readonly at: Micros;
   readonly what: string;
   readonly facts: object;
 };
 
-/** Why an exchange went where it went, step by step. */
+/** The routing decisions and results of one exchange in order, under the revisions that applied when it was accepted. */
 export type ExchangeStory = {
   readonly exchange: string;
   readonly kind: string;
--- a/src/router/explain/explain-story.ts
+++ b/src/router/explain/explain-story.ts
@@ -1,13 +1,13 @@
 import type { ExchangeStory } from './exchange-story.js';
 import { explainStep } from './explain-step.js';
 
-/** Why an exchange went where it went, in lines for people. */
-export const explainStory = (story: ExchangeStory): readonly string[] => {
-  const firstAt = story.steps[0]?.at ?? 0;
+/** A trace as lines for people; times are relative to the first step. */
+export const explainStory = (trace: ExchangeStory): readonly string[] => {
+  const firstAt = trace.steps[0]?.at ?? 0;
   return [
-    `exchange ${story.exchange}`,
-    `  kind ${story.kind}, tier ${story.tier}, service ${story.service}`,
-    `  under setup ${story.setupRevision} and list ${story.listVersion}`,
-    ...story.steps.map((step) => `  +${step.at - firstAt} us  ${explainStep(step)}`),
+    `exchange ${trace.exchange}`,
+    `  kind ${trace.kind}, tier ${trace.tier}, service ${trace.service}`,
+    `  under setup ${trace.setupRevision} and list ${trace.listVersion}`,
+    ...trace.steps.map((step) => `  +${step.at - firstAt} us  ${explainStep(step)}`),
   ];
 };
--- a/src/router/explain/story-book.ts
+++ b/src/router/explain/story-book.ts
@@ -1,26 +1,29 @@
 import type { ExchangeStory, StoryStep } from './exchange-story.js';
 
-/** The stories of the newest exchanges of a node. */
+/** The traces of a node's most recent exchanges. */
 export type StoryBook = {
-  readonly begin: (story: ExchangeStory) => void;
+  /** Stores a new trace; the oldest is evicted beyond the capacity. */
+  readonly begin: (trace: ExchangeStory) => void;
+  /** Appends a step; no effect if the trace was evicted. */
   readonly add: (exchange: string, step: StoryStep) => void;
   readonly all: () => readonly ExchangeStory[];
   readonly find: (exchange: string) => ExchangeStory | undefined;
 };
 
-export const openStoryBook = (most: number): StoryBook => {
-  const stories = new Map<string, ExchangeStory>();
+/** Opens a store that holds at most `capacity` traces. */
+export const openStoryBook = (capacity: number): StoryBook => {
+  const traces = new Map<string, ExchangeStory>();
   return {
-    begin: (story) => {
-      stories.set(story.exchange, story);
-      const oldestExchange = stories.size > most ? stories.keys().next().value : undefined;
-      if (oldestExchange !== undefined) stories.delete(oldestExchange);
+    begin: (trace) => {
+      traces.set(trace.exchange, trace);
+      const oldestExchange = traces.size > capacity ? traces.keys().next().value : undefined;
+      if (oldestExchange !== undefined) traces.delete(oldestExchange);
     },
     add: (exchange, step) => {
-      const story = stories.get(exchange);
-      if (story !== undefined) stories.set(exchange, { ...story, steps: [...story.steps, step] });
+      const trace = traces.get(exchange);
+      if (trace !== undefined) traces.set(exchange, { ...trace, steps: [...trace.steps, step] });
     },
-    all: () => [...stories.values()],
-    find: (exchange) => stories.get(exchange),
+    all: () => [...traces.values()],
+    find: (exchange) => traces.get(exchange),
   };
 };
--- a/src/router/explain/story-schema.ts
+++ b/src/router/explain/story-schema.ts
@@ -1,6 +1,6 @@
 import { array, number, object, string } from 'yup';
 
-/** The form of a story as it travels and as it is saved. */
+/** The JSON form of a trace, over HTTP and in saved journals. */
 export const storySchema = object({
   exchange: string().required(),
   kind: string().required(),
--- a/src/router/opaque/receipt-head.ts
+++ b/src/router/opaque/receipt-head.ts
@@ -1,4 +1,4 @@
-/** The beginning of a receipt whose form only its server and its caller know; header names and values stand in turn. */
+/** Status and headers of an opaque response; `headers` alternates names and values. */
 export type ReceiptHead = {
   readonly status: number;
   readonly headers: readonly string[];
--- a/src/router/promises/promise-checks.ts
+++ b/src/router/promises/promise-checks.ts
@@ -1,33 +1,35 @@
 import type { PromiseName } from './promise-name.js';
 
-/** Counts and logs promises that are found broken; nothing else is done about them. */
+/** Counts and logs violated guarantees; a violation has no further effect. */
 export type PromiseChecks = {
+  /** Records one violation of a guarantee. */
   readonly broken: (promise: PromiseName, facts: Readonly<Record<string, unknown>>) => void;
 };
 
-type Parts = {
+/** Where violations are counted and logged. */
+type ViolationSinks = {
   readonly count: (name: string) => void;
   readonly log: (what: string, facts: Readonly<Record<string, unknown>>) => void;
 };
 
-/** More breaks of one promise than this are counted and not logged. */
-const mostLogged = 8;
+/** Further violations of the same guarantee are only counted, to bound the log. */
+const maxLoggedViolations = 8;
 
-/** The counter of a promise: its breaks since the process began. */
+/** The name of the counter of violations of a guarantee since the start of the process. */
 export const promiseCounterOf = (promise: PromiseName): string => `promises.broken.${promise}`;
 
-/** What a log line of a broken promise is called. */
+/** The message of the log line of a violation. */
 export const brokenPromise = 'promise broken';
 
-/** Opens the checks of one process on its counters and its log. */
-export const openPromiseChecks = ({ count, log }: Parts): PromiseChecks => {
-  const logged = new Map<PromiseName, number>();
+/** Records violations in the counters and the log of one process. */
+export const openPromiseChecks = ({ count, log }: ViolationSinks): PromiseChecks => {
+  const violationCounts = new Map<PromiseName, number>();
   return {
     broken: (promise, facts) => {
       count(promiseCounterOf(promise));
-      const times = (logged.get(promise) ?? 0) + 1;
-      logged.set(promise, times);
-      if (times <= mostLogged) log(brokenPromise, { promise, ...facts });
+      const violations = (violationCounts.get(promise) ?? 0) + 1;
+      violationCounts.set(promise, violations);
+      if (violations <= maxLoggedViolations) log(brokenPromise, { promise, ...facts });
     },
   };
 };
--- a/src/router/promises/promise-name.ts
+++ b/src/router/promises/promise-name.ts
@@ -1,16 +1,16 @@
-/** The promises to callers, servers and operators that a router checks while it runs. */
+/** Guarantees to clients, servers and operators that a router checks at run time; the names appear in counters and log lines. */
 export type PromiseName =
-  /** Each exchange gets one last word, and nothing after it. */
+  /** Each exchange gets exactly one final answer, and nothing is written after it. */
   | 'one-final-answer'
-  /** A refusal is said only of an exchange that did not run and never will. */
+  /** An exchange is refused only if it did not run and never will. */
   | 'refused-never-ran'
-  /** What may run once is sent again only after a server said that it did not run it. */
+  /** An exchange that is not repeatable is sent again only after the server confirmed that it did not run it. */
   | 'runs-once'
-  /** An exchange goes to a server of the service that its rule names. */
+  /** An exchange is sent only to servers of the service that its rule names. */
   | 'service-of-its-rule'
-  /** A server shown as leaving gets nothing new once its time has passed. */
+  /** A server listed as leaving gets no new attempts after its grace period. */
   | 'leaving-gets-nothing'
-  /** A configuration never gives way to an older one within one life. */
+  /** Within one process, a configuration is never replaced by one with a lower revision. */
   | 'configuration-never-back'
-  /** An exchange has its last word, or has begun to stream, soon after its budget ended. */
+  /** Shortly after its budget ends, an exchange has its final answer or has begun to stream. */
   | 'answered-in-time';
--- a/src/router/promises/watched-caller.ts
+++ b/src/router/promises/watched-caller.ts
@@ -2,98 +2,102 @@
 import type { OpaqueCaller } from '../opaque/opaque-caller.js';
 import type { PromiseChecks } from './promise-checks.js';
 
-/** The way back to a caller, with a look at what is said on it and at the tries that were made for it. */
+/** The response side of an exchange, wrapped with checks of the guarantees on its answer and its attempts. */
 export type WatchedCaller = {
+  /** The wrapped response side; the exchange must use it instead of the original. */
   readonly caller: CallerLink;
-  /** A try has been sent to a server. */
+  /** Notes that an attempt was sent to a server. */
   readonly sent: () => void;
-  /** A server has said that it did not run the try that was sent last. */
+  /** Notes that the server confirmed it did not run the last attempt. */
   readonly notRun: () => void;
-  /** Whether a last word was said, or an answer has begun. */
+  /** Whether the response is complete or has begun. */
   readonly isAnswered: () => boolean;
 };
 
+/** The exchange to which the guarantees apply. */
 export type WatchedExchange = {
   readonly exchange: string;
-  /** Whether it may run more than once. */
+  /** Whether running it more than once is harmless. */
   readonly repeatable: boolean;
 };
 
-/** Watches one exchange: what is promised of its answer and of its tries. */
+/** Wraps the response side of one exchange with checks; writes are passed on even if they violate a guarantee. */
 export const watchCaller = (
-  caller: CallerLink,
+  client: CallerLink,
   { exchange, repeatable }: WatchedExchange,
-  checks: PromiseChecks,
+  guarantees: PromiseChecks,
 ): WatchedCaller => {
-  let lastWord: string | undefined;
+  let finalAnswer: string | undefined;
   let hasBegun = false;
-  /** Tries that were sent and of which no server has said that it did not run them. */
+  /** Attempts that were sent and not confirmed as not run. */
   let mayHaveRun = 0;
 
-  const say = (word: string, isLast: boolean): void => {
-    if (lastWord !== undefined) checks.broken('one-final-answer', { exchange, first: lastWord, then: word });
-    hasBegun ||= !isLast;
-    if (isLast) lastWord ??= word;
+  const noteWrite = (operation: string, isFinal: boolean): void => {
+    if (finalAnswer !== undefined)
+      guarantees.broken('one-final-answer', { exchange, first: finalAnswer, then: operation });
+    hasBegun ||= !isFinal;
+    if (isFinal) finalAnswer ??= operation;
   };
 
-  const watchedOpaque = (opaque: OpaqueCaller): OpaqueCaller => ({
+  const checkedWriter = (writer: OpaqueCaller): OpaqueCaller => ({
     begin: (head) => {
-      say('begin', false);
-      opaque.begin(head);
+      noteWrite('begin', false);
+      writer.begin(head);
     },
     write: (bytes) => {
-      say('write', false);
-      return opaque.write(bytes);
+      noteWrite('write', false);
+      return writer.write(bytes);
     },
-    onRoom: opaque.onRoom,
+    onRoom: writer.onRoom,
     end: () => {
-      say('end', true);
-      opaque.end();
+      noteWrite('end', true);
+      writer.end();
     },
     whole: (head, body) => {
-      say('whole', true);
-      opaque.whole(head, body);
+      noteWrite('whole', true);
+      writer.whole(head, body);
     },
   });
 
   return {
     caller: {
-      ...(caller.opaque === undefined ? {} : { opaque: watchedOpaque(caller.opaque) }),
-      isGone: caller.isGone,
-      onGone: caller.onGone,
+      ...(client.opaque === undefined ? {} : { opaque: checkedWriter(client.opaque) }),
+      isGone: client.isGone,
+      onGone: client.onGone,
       piece: (name, line) => {
-        say('piece', false);
-        return caller.piece(name, line);
+        noteWrite('piece', false);
+        return client.piece(name, line);
       },
       end: (name, pieces) => {
-        say('end', true);
-        caller.end(name, pieces);
+        noteWrite('end', true);
+        client.end(name, pieces);
       },
       receipt: (name, text) => {
-        say('receipt', true);
-        caller.receipt(name, text);
+        noteWrite('receipt', true);
+        client.receipt(name, text);
       },
       refuse: (error, name, retryAfterUs) => {
-        if (hasBegun || mayHaveRun > 0) checks.broken('refused-never-ran', { exchange, error: error.type, mayHaveRun });
-        say('refuse', true);
-        caller.refuse(error, name, retryAfterUs);
+        if (hasBegun || mayHaveRun > 0)
+          guarantees.broken('refused-never-ran', { exchange, error: error.type, mayHaveRun });
+        noteWrite('refuse', true);
+        client.refuse(error, name, retryAfterUs);
       },
       unknown: (error, facts) => {
-        say('unknown', true);
-        caller.unknown(error, facts);
+        noteWrite('unknown', true);
+        client.unknown(error, facts);
       },
       breakOff: () => {
-        say('breakOff', true);
-        caller.breakOff();
+        noteWrite('breakOff', true);
+        client.breakOff();
       },
     },
     sent: () => {
-      if (mayHaveRun > 0 && !repeatable) checks.broken('runs-once', { exchange, tries: mayHaveRun + 1 });
+      if (mayHaveRun > 0 && !repeatable) guarantees.broken('runs-once', { exchange, tries: mayHaveRun + 1 });
       mayHaveRun += 1;
     },
     notRun: () => {
       mayHaveRun = Math.max(0, mayHaveRun - 1);
     },
-    isAnswered: () => hasBegun || lastWord !== undefined,
+    isAnswered: () => hasBegun || finalAnswer !== undefined,
   };
 };
--- a/src/router/slab/ticket.ts
+++ b/src/router/slab/ticket.ts
@@ -1,7 +1,8 @@
-/** A place in a slab and the generation that holds it. A ticket of a former generation opens nothing. */
+/** The index of a slot and its generation at insertion. A handle is stale once its slot was freed. */
 export type Ticket = {
   readonly index: number;
   readonly generation: number;
 };
 
-export const ticketName = (ticket: Ticket): string => `${ticket.index}.${ticket.generation}`;
+/** A text that is unique among the handles of one slab. */
+export const ticketName = (handle: Ticket): string => `${handle.index}.${handle.generation}`;
