--- a/tests/router/promises.test.ts
+++ b/tests/router/promises.test.ts
@@ -9,7 +9,7 @@
 import { watchCaller } from '../../src/router/promises/watched-caller.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
 
-const silentCaller: CallerLink = {
+const inertClient: CallerLink = {
   opaque: {
     begin: () => undefined,
     write: () => true,
@@ -30,13 +30,13 @@
 const head = { status: 200, headers: [] };
 const error = typedError('no-server', 'none');
 
-const openWatch = (repeatable = false) => {
-  const found: PromiseName[] = [];
-  const checks = { broken: (promise: PromiseName) => void found.push(promise) };
-  return { found, checks, watch: watchCaller(silentCaller, { exchange: 'e', repeatable }, checks) };
+const openMonitor = (repeatable = false) => {
+  const violations: PromiseName[] = [];
+  const checks = { broken: (promise: PromiseName) => void violations.push(promise) };
+  return { violations, checks, monitor: watchCaller(inertClient, { exchange: 'e', repeatable }, checks) };
 };
 
-const leaving = (leavingAtUs?: number): ListedServer => ({
+const listedServer = (leavingAtUs?: number): ListedServer => ({
   id: 's1',
   incarnation: 'i1',
   service: 'model',
@@ -47,101 +47,101 @@
   ...(leavingAtUs === undefined ? {} : { leavingAtUs }),
 });
 
-test('what goes as promised breaks nothing: a refused try elsewhere, a stream, its end', () => {
-  const { found, watch } = openWatch();
-  watch.sent();
-  watch.notRun();
-  watch.sent();
-  watch.caller.opaque?.begin(head);
-  watch.caller.opaque?.write(Buffer.from('x'));
-  watch.caller.opaque?.end();
-  assert.equal(found, []);
-  assert.ok(watch.isAnswered());
+test('an attempt that did not run, a second one, its stream and the end of the stream violate no guarantee', () => {
+  const { violations, monitor } = openMonitor();
+  monitor.sent();
+  monitor.notRun();
+  monitor.sent();
+  monitor.caller.opaque?.begin(head);
+  monitor.caller.opaque?.write(Buffer.from('x'));
+  monitor.caller.opaque?.end();
+  assert.equal(violations, []);
+  assert.ok(monitor.isAnswered());
 });
 
-test('a second last word, and a piece after the last word, are found', () => {
-  const twice = openWatch();
-  twice.watch.caller.refuse(error);
-  twice.watch.caller.unknown(error, {});
-  assert.equal(twice.found, ['one-final-answer']);
-  const after = openWatch();
-  after.watch.caller.opaque?.whole(head, Buffer.alloc(0));
-  after.watch.caller.opaque?.write(Buffer.from('x'));
-  assert.equal(after.found, ['one-final-answer']);
+test('a second final answer, and a write after the final answer, are reported', () => {
+  const twice = openMonitor();
+  twice.monitor.caller.refuse(error);
+  twice.monitor.caller.unknown(error, {});
+  assert.equal(twice.violations, ['one-final-answer']);
+  const after = openMonitor();
+  after.monitor.caller.opaque?.whole(head, Buffer.alloc(0));
+  after.monitor.caller.opaque?.write(Buffer.from('x'));
+  assert.equal(after.violations, ['one-final-answer']);
 });
 
-test('a refusal of what was sent, or has begun, is found; one of what a server did not run is none', () => {
-  const sent = openWatch();
-  sent.watch.sent();
-  sent.watch.caller.refuse(error);
-  assert.equal(sent.found, ['refused-never-ran']);
-  const turnedAway = openWatch();
-  turnedAway.watch.sent();
-  turnedAway.watch.notRun();
-  turnedAway.watch.caller.refuse(error);
-  assert.equal(turnedAway.found, []);
-  const begun = openWatch(true);
-  void begun.watch.caller.piece('e', 'line');
-  begun.watch.caller.refuse(error);
-  assert.equal(begun.found, ['refused-never-ran']);
+test('a refusal after an attempt was sent or a response has begun is reported; one after a confirmed non-run is not', () => {
+  const sent = openMonitor();
+  sent.monitor.sent();
+  sent.monitor.caller.refuse(error);
+  assert.equal(sent.violations, ['refused-never-ran']);
+  const turnedAway = openMonitor();
+  turnedAway.monitor.sent();
+  turnedAway.monitor.notRun();
+  turnedAway.monitor.caller.refuse(error);
+  assert.equal(turnedAway.violations, []);
+  const begun = openMonitor(true);
+  void begun.monitor.caller.piece('e', 'line');
+  begun.monitor.caller.refuse(error);
+  assert.equal(begun.violations, ['refused-never-ran']);
 });
 
-test('a second try of what may run once is found, unless the first did not run or it may be repeated', () => {
-  const once = openWatch();
-  once.watch.sent();
-  once.watch.sent();
-  assert.equal(once.found, ['runs-once']);
-  const repeatable = openWatch(true);
-  repeatable.watch.sent();
-  repeatable.watch.sent();
-  assert.equal(repeatable.found, []);
+test('a second attempt of a run-once exchange is reported; one of a repeatable exchange is not', () => {
+  const once = openMonitor();
+  once.monitor.sent();
+  once.monitor.sent();
+  assert.equal(once.violations, ['runs-once']);
+  const repeatable = openMonitor(true);
+  repeatable.monitor.sent();
+  repeatable.monitor.sent();
+  assert.equal(repeatable.violations, []);
 });
 
-test('a try at a server of another service, or long after it was shown as leaving, is found', () => {
-  const { found, checks } = openWatch();
-  const tries = openTryChecks(checks);
+test('an attempt at a server of another service, or after the grace period of a leaving server, is reported', () => {
+  const { violations, checks } = openMonitor();
+  const routingChecks = openTryChecks(checks);
   const sent = (server: ListedServer | undefined, nowUs: number, service = 'model'): void =>
-    tries.sent({ exchange: 'e', rule: { service }, server, nowUs });
-  sent(leaving(), 9_000_000);
-  sent(leaving(1_000_000), 1_000_000 + mostLeavingUs);
+    routingChecks.sent({ exchange: 'e', rule: { service }, server, nowUs });
+  sent(listedServer(), 9_000_000);
+  sent(listedServer(1_000_000), 1_000_000 + mostLeavingUs);
   sent(undefined, 9_000_000);
-  assert.equal(found, []);
-  sent(leaving(1_000_000), 1_000_001 + mostLeavingUs);
-  sent(leaving(), 9_000_000, 'web');
-  assert.equal(found, ['leaving-gets-nothing', 'service-of-its-rule']);
+  assert.equal(violations, []);
+  sent(listedServer(1_000_000), 1_000_001 + mostLeavingUs);
+  sent(listedServer(), 9_000_000, 'web');
+  assert.equal(violations, ['leaving-gets-nothing', 'service-of-its-rule']);
 });
 
-test('an older configuration in place of a newer one is found', () => {
-  const { found, checks } = openWatch();
-  const tries = openTryChecks(checks);
-  tries.configured(undefined, 3);
-  tries.configured(3, 3);
-  tries.configured(3, 4);
-  assert.equal(found, []);
-  tries.configured(4, 3);
-  assert.equal(found, ['configuration-never-back']);
+test('an older configuration in place of a newer one is reported', () => {
+  const { violations, checks } = openMonitor();
+  const routingChecks = openTryChecks(checks);
+  routingChecks.configured(undefined, 3);
+  routingChecks.configured(3, 3);
+  routingChecks.configured(3, 4);
+  assert.equal(violations, []);
+  routingChecks.configured(4, 3);
+  assert.equal(violations, ['configuration-never-back']);
 });
 
-test('an exchange without a word half a second after its budget is found once, and one that streams is none', () => {
-  const { found, checks, watch } = openWatch();
-  const tries = openTryChecks(checks);
-  const waiting = { exchange: 'e', dueUs: 1_000_000, watch };
-  tries.waiting(waiting, 1_000_000 + mostOverdueUs);
-  assert.equal(found, []);
-  tries.waiting(waiting, 1_000_001 + mostOverdueUs);
-  tries.waiting(waiting, 2_000_000 + mostOverdueUs);
-  assert.equal(found, ['answered-in-time']);
-  const streaming = openWatch();
-  streaming.watch.caller.opaque?.begin(head);
-  tries.waiting({ ...waiting, watch: streaming.watch }, 9_000_000);
-  assert.equal(found, ['answered-in-time']);
+test('an exchange without an answer half a second after its budget is reported once, and a streaming one is not', () => {
+  const { violations, checks, monitor } = openMonitor();
+  const routingChecks = openTryChecks(checks);
+  const waiting = { exchange: 'e', dueUs: 1_000_000, watch: monitor };
+  routingChecks.waiting(waiting, 1_000_000 + mostOverdueUs);
+  assert.equal(violations, []);
+  routingChecks.waiting(waiting, 1_000_001 + mostOverdueUs);
+  routingChecks.waiting(waiting, 2_000_000 + mostOverdueUs);
+  assert.equal(violations, ['answered-in-time']);
+  const streaming = openMonitor();
+  streaming.monitor.caller.opaque?.begin(head);
+  routingChecks.waiting({ ...waiting, watch: streaming.monitor }, 9_000_000);
+  assert.equal(violations, ['answered-in-time']);
 });
 
-test('breaks are counted under a name of their own, and only the first of them are logged', () => {
+test('every violation is counted under the name of its guarantee, and only the first few are logged', () => {
   const counters = openCounters();
   const lines: unknown[] = [];
   const checks = openPromiseChecks({ count: counters.count, log: (what, facts) => void lines.push([what, facts]) });
-  for (let times = 0; times < 20; times += 1) checks.broken('runs-once', { exchange: `e${times}` });
+  for (let index = 0; index < 20; index += 1) checks.broken('runs-once', { exchange: `e${index}` });
   assert.is(counters.read()[promiseCounterOf('runs-once')], 20);
   assert.is(lines.length, 8);
 });
--- a/tests/router/slab.test.ts
+++ b/tests/router/slab.test.ts
@@ -3,7 +3,7 @@
 import { openSlab } from '../../src/router/slab/slab.js';
 import type { Ticket } from '../../src/router/slab/ticket.js';
 
-test('a ticket of a former generation opens nothing, and frees nothing', () => {
+test('a stale handle finds no value and frees no slot', () => {
   const slab = openSlab<{ readonly ticket: Ticket; readonly name: string }>();
   const first = slab.put((ticket) => ({ ticket, name: 'first' }));
   slab.free(first.ticket);
