--- a/src/process/router/fleet-news.ts
+++ b/src/process/router/fleet-news.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
-import { isCrowdedBy, type ServerLoad } from '../../decision/health/server-load.js';
+import { isSaturated, type ServerLoad } from '../../decision/health/server-load.js';
 import type { FailureCause } from '../../decision/health/server-failures.js';
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Frame } from '../../spread/frame/frame.js';
@@ -63,7 +63,7 @@
       broadcast({ type: 'server-failure', server, cause });
     },
     load: (server, load) => {
-      if (!isCrowdedBy(load) || !recordIfDue(loadReportedUs, server, loadReportIntervalUs)) return;
+      if (!isSaturated(load) || !recordIfDue(loadReportedUs, server, loadReportIntervalUs)) return;
       counters.count('loads.told');
       broadcast({ type: 'server-load', server, ...load });
     },
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -6,8 +6,8 @@
 import type { Decision } from '../../decision/machine/effect/decision.js';
 import type { DecisionEvent } from '../../decision/machine/event/decision-event.js';
 import { stepDecision } from '../../decision/machine/step/step.js';
-import { platformUsOf, startDecisionView, type DecisionView } from '../../decision/machine/view/decision-view.js';
-import { usualPolicy, type DecisionPolicy } from '../../decision/policy.js';
+import { platformUsOf, initialDecisionView, type DecisionView } from '../../decision/machine/view/decision-view.js';
+import { defaultPolicy, type DecisionPolicy } from '../../decision/policy.js';
 import { prefixOf } from '../../decision/ring/prefix.js';
 import { accessOf, isSameCaller, tenantNameOf, type Access } from '../../router/access/access.js';
 import type { CallerLink } from '../../router/delivery/caller-link.js';
@@ -106,7 +106,7 @@
   log,
   counters,
   surroundings,
-  policy = usualPolicy,
+  policy = defaultPolicy,
   release,
 }: RouterTaskParts): RouterTask => {
   const { clock, dial, freshName, probesNothing = false } = surroundings;
@@ -120,7 +120,7 @@
   let decisions: readonly Decision[] = [];
   let exchangeCount = 0;
   const journal = openJournal<DecisionView, DecisionEvent>(
-    { ...startDecisionView, policy },
+    { ...initialDecisionView, policy },
     (view, event) => {
       const step = stepDecision(view, event);
       decisions = step.effects;
@@ -278,7 +278,7 @@
 
   /** Whether the service of an exchange may use a server now. */
   const isAllowed = (continuation: Continuation, key: string): boolean =>
-    journal.view().stage.services.get(continuation.rule.service)?.allowed.has(key) ?? false;
+    journal.view().topology.services.get(continuation.rule.service)?.allowed.has(key) ?? false;
 
   /** Whether the client's key still belongs to the same tenant; keys may be revoked while the exchange waits. */
   const isStillAllowed = ({ rule, apiKey, access }: Continuation): boolean => {
@@ -519,7 +519,7 @@
       const service =
         matchedRule.split === undefined ? matchedRule.service : shareOf(matchedRule, opaque?.name ?? nextExchangeId());
       const rule = { ...matchedRule, service, tier: tier ?? matchedRule.tier };
-      const isModel = journal.view().stage.services.get(rule.service)?.type === 'model';
+      const isModel = journal.view().topology.services.get(rule.service)?.type === 'model';
       const continuation = slab.put((handle) => {
         const exchange = claimed?.exchange ?? `${node}.${boot}.${ticketName(handle)}`;
         const monitor = watchCaller(client, { exchange, repeatable: rule.repeatable }, guarantees);
