--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -315,9 +315,9 @@
       failUnsent('no-link');
       return;
     }
-    const acquired = await pool.take(server);
+    const acquired = await pool.acquire(server);
     if (signal.aborted) {
-      acquired.ifRight((link) => pool.giveBack(link));
+      acquired.ifRight((link) => pool.release(link));
       return;
     }
     if (acquired.isLeft()) {
@@ -331,12 +331,12 @@
     }
     const link = acquired.unsafeCoerce();
     if (gate.isShut() || !link.isOpen() || !isAllowed(continuation, decision.server)) {
-      pool.giveBack(link);
+      pool.release(link);
       failUnsent('no-link');
       return;
     }
     if (!isStillAllowed(continuation)) {
-      pool.giveBack(link);
+      pool.release(link);
       counters.count('keys.revokedInFlight');
       failUnsent('key-revoked');
       return;
@@ -352,7 +352,7 @@
     dispatch({ type: 'sent', at: clock.now(), exchange, attempt });
     if (continuation.stream.pieces > 0) continuation.stream.dueUs = clock.now() + continuation.rule.firstPieceUs;
     const { opaque } = continuation;
-    if (opaque !== undefined && link.carry !== undefined) {
+    if (opaque !== undefined && link.forward !== undefined) {
       const order = {
         exchange: opaque,
         budgetUs: Math.max(1_000, continuation.dueUs - clock.now()),
@@ -361,7 +361,7 @@
         tenant: tenantNameOf(continuation.access),
         withholdsKey: continuation.access.type !== 'open',
       };
-      const outcome = await carry(continuation, link, link.carry, order, signal, {
+      const outcome = await carry(continuation, link, link.forward, order, signal, {
         piece: () => noteForwardedPiece(continuation, attempt),
         load: (load) => signals.load(decision.server, load),
       });
@@ -370,7 +370,7 @@
         continuation.stream.dueUs = Number.POSITIVE_INFINITY;
         endAttempt(continuation, attempt, decision.server, outcome);
       }
-      pool.giveBack(link);
+      pool.release(link);
       return;
     }
     const outcome = await deliver(continuation, link, decision.fromPiece, signal, {
@@ -382,7 +382,7 @@
       endAttempt(continuation, attempt, decision.server, outcome);
     }
     if (outcome.type === 'done' && (await within(clock, outcome.rest, bodyEndBudgetUs)) !== true) link.close();
-    pool.giveBack(link);
+    pool.release(link);
   };
 
   const endAttempt = (continuation: Continuation, attempt: number, server: ServerKey, outcome: DeliveryEnd): void => {
@@ -495,7 +495,7 @@
   spread.events.on('list', (list) => {
     dispatch({ type: 'list', at: clock.now(), list });
     signals.watch(list.servers);
-    pool.keepOnly(new Set(list.servers.map(serverKeyOf)));
+    pool.retainOnly(new Set(list.servers.map(serverKeyOf)));
   });
   counters.gauge('exchanges.inFlight', () => slab.size());
   counters.gauge('links.open', () => pool.size());
--- a/src/process/router/server-signals.ts
+++ b/src/process/router/server-signals.ts
@@ -8,7 +8,7 @@
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import type { ServerKey } from '../../servers/list/server-key.js';
 import { openProber } from '../../servers/probe/prober.js';
-import { openPassiveWatch } from '../../servers/watch/passive-watch.js';
+import { openPassiveHealthCheck } from '../../servers/watch/passive-health-check.js';
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
 import type { SpreadTask } from '../spread-task.js';
@@ -58,7 +58,7 @@
     take({ type: isReachable ? 'light' : 'dark', at: clock.now(), server });
   };
   const passive = probesNothing
-    ? openPassiveWatch(dial, clock, onReachabilityChange, (link) => pool.keep(link))
+    ? openPassiveHealthCheck(dial, clock, onReachabilityChange, (link) => pool.keep(link))
     : undefined;
   const prober = passive ?? openProber(dial, clock, onReachabilityChange);
 
@@ -77,9 +77,9 @@
   );
 
   return {
-    watch: prober.watch,
+    watch: prober.setServers,
     unreachable: (server) => {
-      passive?.missed(server);
+      passive?.reportDialFailure(server);
       reportFailure(server, 'unreachable');
     },
     suspect: (server) => passive?.suspect(server),
--- a/src/router/delivery/carry.ts
+++ b/src/router/delivery/carry.ts
@@ -1,7 +1,7 @@
 import type { ServerLoad } from '../../decision/health/server-load.js';
 import type { DeliveryError } from '../../decision/machine/event/delivery-error.js';
-import type { CarriedHead } from '../../servers/link/carried-head.js';
-import type { OpaqueOrder } from '../../servers/link/opaque-order.js';
+import type { OpaqueResponseHead } from '../../servers/link/opaque-response-head.js';
+import type { OpaqueRequest } from '../../servers/link/opaque-request.js';
 import type { ServerLink } from '../../servers/link/server-link.js';
 import type { Continuation } from '../exchange/continuation.js';
 import type { DeliveryEnd } from './delivery-end.js';
@@ -17,7 +17,7 @@
 /** Unstreamed responses up to this size are buffered whole before they are forwarded, so that a broken one can be retried. */
 const maxBufferedBytes = 1 << 18;
 
-const isSuccess = (head: CarriedHead): boolean => head.status >= 200 && head.status < 300;
+const isSuccess = (head: OpaqueResponseHead): boolean => head.status >= 200 && head.status < 300;
 
 /**
  * Runs one attempt of an opaque exchange over one link: forwards the response as it arrives, without parsing it. The link is
@@ -26,8 +26,8 @@
 export const carry = (
   continuation: Continuation,
   link: ServerLink,
-  startCarriage: NonNullable<ServerLink['carry']>,
-  order: OpaqueOrder,
+  startCarriage: NonNullable<ServerLink['forward']>,
+  order: OpaqueRequest,
   signal: AbortSignal,
   { piece: onPiece, load: onLoad }: CarryEvents,
 ): Promise<DeliveryEnd> =>
@@ -36,7 +36,7 @@
     const { opaque } = caller;
     const buffered: Uint8Array[] = [];
     let bufferedBytes = 0;
-    let head: CarriedHead | undefined;
+    let head: OpaqueResponseHead | undefined;
     let isForwarding = false;
     let hasEnded = false;
     const finish = (end: DeliveryEnd): void => {
@@ -57,7 +57,7 @@
       carriage.pause();
       opaque.onRoom(() => carriage.resume());
     };
-    const startForwarding = (passedHead: CarriedHead): void => {
+    const startForwarding = (passedHead: OpaqueResponseHead): void => {
       isForwarding = true;
       if (stream.pieces === 0) opaque?.begin(passedHead);
       for (const bytes of buffered.splice(0)) write(bytes);
--- a/tests/router/carry.test.ts
+++ b/tests/router/carry.test.ts
@@ -6,8 +6,8 @@
 import type { DeliveryEnd } from '../../src/router/delivery/delivery-end.js';
 import type { Continuation } from '../../src/router/exchange/continuation.js';
 import type { OpaqueExchange } from '../../src/router/opaque/opaque-exchange.js';
-import type { CarriedHead } from '../../src/servers/link/carried-head.js';
-import type { CarryListener } from '../../src/servers/link/carry-listener.js';
+import type { OpaqueResponseHead } from '../../src/servers/link/opaque-response-head.js';
+import type { OpaqueResponseListener } from '../../src/servers/link/opaque-response-listener.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
 import { freeHold } from '../../src/router/exchange/quota-hold.js';
 import { openSlab } from '../../src/router/slab/slab.js';
@@ -27,7 +27,7 @@
   budgetUs: 1_000_000,
 };
 
-const successHead: CarriedHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
+const successHead: OpaqueResponseHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
 
 /** A client link that records what is written to it. */
 const openRecordingClient = () => {
@@ -83,10 +83,10 @@
     stream: { pieces: 0, running: undefined, dueUs: 0, lastPiece: undefined, refusal: undefined },
   }));
 
-type Server = (listener: CarryListener) => void;
+type Server = (listener: OpaqueResponseListener) => void;
 
 const runAttempt = (continuation: Continuation, server: Server): Promise<DeliveryEnd> => {
-  const startCarriage: NonNullable<ServerLink['carry']> = (_order, listener) => {
+  const startCarriage: NonNullable<ServerLink['forward']> = (_order, listener) => {
     queueMicrotask(() => server(listener));
     return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
   };
@@ -94,9 +94,9 @@
     key: 'k',
     isOpen: () => true,
     close: () => undefined,
-    confirm: () => Promise.resolve(true),
+    probe: () => Promise.resolve(true),
     deliver: () => Promise.reject(new Error('not here')),
-    carry: startCarriage,
+    forward: startCarriage,
   };
   const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
   return carry(continuation, link, startCarriage, order, new AbortController().signal, {
@@ -191,7 +191,7 @@
 });
 
 test('data that arrives after the client disconnected or the attempt ended is not forwarded', async () => {
-  const sendLate = (listener: CarryListener): void => {
+  const sendLate = (listener: OpaqueResponseListener): void => {
     listener.head(successHead);
     listener.piece(bytes('2'), 2);
     listener.end();
@@ -199,8 +199,8 @@
   for (const streams of [true, false]) {
     const { written, client } = openRecordingClient();
     const abortController = new AbortController();
-    let lateListener: CarryListener | undefined;
-    const startCarriage: NonNullable<ServerLink['carry']> = (_order, listener) => {
+    let lateListener: OpaqueResponseListener | undefined;
+    const startCarriage: NonNullable<ServerLink['forward']> = (_order, listener) => {
       lateListener = listener;
       return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
     };
@@ -211,9 +211,9 @@
       close: () => {
         isClosed = true;
       },
-      confirm: () => Promise.resolve(true),
+      probe: () => Promise.resolve(true),
       deliver: () => Promise.reject(new Error('not here')),
-      carry: startCarriage,
+      forward: startCarriage,
     };
     const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
     const events = { piece: () => undefined, load: () => undefined };
