--- a/tests/mutants/router-mutants.ts
+++ b/tests/mutants/router-mutants.ts
@@ -6,7 +6,7 @@
   {
     name: 'a key that was revoked while its request waited is not looked at again',
     file: 'src/process/router/router-task.ts',
-    find: 'if (!isStillAllowed(continuation)) {',
+    find: 'if (!isStillAuthorized(continuation)) {',
     put: 'if (gate.isShut()) {',
     by: test('tests/platform/keys.test.js'),
   },
@@ -83,8 +83,8 @@
   {
     name: 'no claim before delivery',
     file: 'src/process/router/admission.ts',
-    find: 'if (rule.repeatable || givenKey === undefined) {',
-    put: 'if (rule.repeatable || givenKey !== undefined) {',
+    find: 'if (rule.repeatable || idempotencyKey === undefined) {',
+    put: 'if (rule.repeatable || idempotencyKey !== undefined) {',
     by: seeds('fleet', 'run-once', 2),
   },
   {
@@ -97,7 +97,7 @@
   {
     name: 'a leaving server is not looked at again before delivery',
     file: 'src/process/router/router-task.ts',
-    find: '    if (gate.isShut() || !link.isOpen() || !isAllowed(continuation, decision.server)) {',
+    find: '    if (gate.isShut() || !link.isOpen() || !isServerAllowed(continuation, decision.server)) {',
     put: '    if (!link.isOpen()) {',
     by: test('tests/sim/wake-up.test.js'),
   },
@@ -123,9 +123,9 @@
     by: test('tests/router/edge.test.js'),
   },
   {
-    name: 'a ticket of a former generation still opens its place',
+    name: 'a handle of a former generation still opens its place',
     file: 'src/router/slab/slab.ts',
-    find: '      return place?.generation === ticket.generation ? place.value : undefined;',
+    find: '      return place?.generation === handle.generation ? place.value : undefined;',
     put: '      return place?.value;',
     by: test('tests/router/slab.test.js'),
   },
@@ -146,14 +146,14 @@
   {
     name: 'silence between pieces is not noticed',
     file: 'src/process/router/router-task.ts',
-    find: '    endSilentTries(nowUs, lateUs);',
+    find: '    failSilentAttempts(nowUs, lateUs);',
     put: '',
     by: test('tests/sim/silence.test.js'),
   },
   {
     name: 'a draining node takes new exchanges and never ends them',
     file: 'src/process/router/router-node.ts',
-    find: '      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainLookSpanUs);\n',
+    find: '      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);\n',
     put: '',
     by: seeds('rolling', 'planned-changes-cut-nothing', 2),
   },
@@ -174,14 +174,14 @@
   {
     name: 'claims are tried once only',
     file: 'src/router/exchange/claim-budget.ts',
-    find: 'Math.min(mostUs, Math.floor(rule.budgetUs / 2))',
+    find: 'Math.min(maxClaimUs, Math.floor(rule.budgetUs / 2))',
     put: 'Math.min(400_000, rule.budgetUs)',
     by: seeds('fleet', 'almost-no-refusals|back-within', 10),
   },
   {
     name: 'a router counts a jump of its own clock as time of the platform',
     file: 'src/process/router/router-task.ts',
-    find: "    if (spanUs >= longestStepUs) waitingEvents.push({ type: 'gap', at: event.at, spanUs });\n",
+    find: "    if (spanUs >= longestStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });\n",
     put: '',
     by: test('tests/sim/clocks.test.js'),
   },
@@ -201,23 +201,23 @@
   },
   {
     name: 'a success without the mark of its server is given on',
-    file: 'src/router/delivery/carry.ts',
+    file: 'src/router/delivery/forward-opaque.ts',
     find: 'if (!given.sealed) {',
     put: 'if (given.status === 0) {',
     by: test('tests/router/carry.test.js'),
   },
   {
     name: 'a piece that came before is given on again',
-    file: 'src/router/delivery/carry.ts',
+    file: 'src/router/delivery/forward-opaque.ts',
     find: 'number <= stream.lastPiece',
     put: 'number < 0',
     by: test('tests/router/carry.test.js'),
   },
   {
     name: 'the beginning of a resumed stream is written twice',
-    file: 'src/router/delivery/carry.ts',
-    find: 'if (stream.pieces === 0) opaque?.begin(passedHead);',
-    put: 'opaque?.begin(passedHead);',
+    file: 'src/router/delivery/forward-opaque.ts',
+    find: 'if (stream.pieces === 0) opaque?.writeHead(passedHead);',
+    put: 'opaque?.writeHead(passedHead);',
     by: test('tests/router/carry.test.js'),
   },
 ];
