--- a/src/control/machine/leave.ts
+++ b/src/control/machine/leave.ts
@@ -1,6 +1,6 @@
 /**
- * Leaving in order: a voter that is told to stop says so to the leader, which gives its vote to a learner that stands by,
- * if there is one, while all others still live. Without a learner the voter keeps its vote, since it may only restart.
+ * Graceful leave: a voter that is about to stop notifies the leader, which replaces it by a caught-up learner, if there
+ * is one, while all other voters are still up. Without a learner it remains a voter, since it may only be restarting.
  */
 import type { ControlMessage } from './message.js';
 import { stepOf, type ControlStep } from './control-step.js';
@@ -11,7 +11,7 @@
 
 type Leave = Extract<ControlMessage, { readonly type: 'leave' }>;
 
-/** Tells the leader, again and again until the process ends, that this machine is about to stop. */
+/** Notifies the leader that this node is about to stop; repeated at each heartbeat interval until the process ends. */
 export const announceLeave = (replica: Replica): ControlStep => {
   const { leader, identity } = replica;
   const isDue = replica.isLeaving && replica.role !== 'leader' && replica.atUs >= replica.leaveAnnouncedUs;
@@ -22,7 +22,7 @@
   );
 };
 
-/** A leader takes note of a voter that is about to stop, for a moment: a notice that comes late means nothing. */
+/** Records the notice of a voter that is about to stop, which is valid for a short time only. */
 export const onLeave = (replica: Replica, from: string, { identity }: Leave): ControlStep => {
   if (replica.role !== 'leader' || from !== identity || identity === replica.identity) return stepOf(replica);
   const leavingUntilUs = withEntry(replica.leavingUntilUs, identity, replica.atUs + leaveNoticeUs);
--- a/src/control/machine/replication.ts
+++ b/src/control/machine/replication.ts
@@ -29,16 +29,18 @@
   retransmitTimeoutUs: resendTimeoutUs,
 });
 
-/** The first entries of some, as many as their texts allow, and one at least. */
-const withinTextLimit = (entries: readonly LogEntry[]): readonly LogEntry[] => {
+/** The longest prefix of the entries whose documents fit one batch; at least one entry. */
+const withinBatchLimit = (entries: readonly LogEntry[]): readonly LogEntry[] => {
   let textChars = 0;
-  const end = entries.findIndex((entry, place) => (textChars += textCharsOf(entry)) > maxAppendTextChars && place > 0);
+  const end = entries.findIndex(
+    (entry, offset) => (textChars += textCharsOf(entry)) > maxAppendTextChars && offset > 0,
+  );
   return end < 0 ? entries : entries.slice(0, end);
 };
 
 /**
- * A heartbeat without entries. It compares the logs where they are known to match; a member that needs a snapshot is
- * compared at index 0, where all logs match, so that it answers with its own commit index.
+ * A heartbeat: an append without entries. Its consistency check is at an index known to match; for a member that needs
+ * a snapshot it is at index 0, where all logs match, so that the member replies with its own commit index.
  */
 const heartbeatTo = (replica: Replica, identity: string): ControlEffect => {
   const progress = replica.progress.get(identity) ?? newProgress(replica);
@@ -60,7 +62,7 @@
 
 const sendEntries = (replica: Replica, identity: string, progress: Progress): ControlStep => {
   const previousIndex = progress.next - 1;
-  const entries = withinTextLimit(entriesFrom(replica, progress.next, maxEntriesPerAppend));
+  const entries = withinBatchLimit(entriesFrom(replica, progress.next, maxEntriesPerAppend));
   const sentProgress = entries.length > 0 ? withSend(progress, replica.atUs) : progress;
   return stepOf(
     { ...replica, progress: withEntry(replica.progress, identity, sentProgress) },
@@ -80,7 +82,9 @@
   );
 };
 
-/** Sends one member what it lacks; a heartbeat goes in any case, also while a send is under way. */
+/**
+ * Sends a member the entries or the snapshot piece that it lacks, or a heartbeat while an earlier send is in flight.
+ */
 export const sendAppend = (replica: Replica, identity: string): ControlStep => {
   const progress = replica.progress.get(identity) ?? newProgress(replica);
   if (needsSnapshot(replica, progress))
@@ -101,28 +105,31 @@
   forEachStep(stepOf(replica), otherMembersOf(replica), sendAppend);
 
 /**
- * Bare heartbeats of a leader whose disk is busy: they promise nothing that is not synced. Only a disk
- * that stays busy beyond a bound lets the others elect another leader.
+ * Heartbeats of a leader while its disk is busy with a sync. They are made from the last synced replica, so they
+ * contain nothing that is not on disk. The caller stops them after a time limit, so that another leader can be elected.
  */
 export const heartbeatsOf = (syncedReplica: Replica): readonly ControlEffect[] =>
   syncedReplica.role !== 'leader'
     ? []
     : otherMembersOf(syncedReplica).map((identity) => heartbeatTo(syncedReplica, identity));
 
-/** A leader adds an entry, keeps it and sends it on. */
+/** Appends a command to the leader's log, persists it and replicates it; `requestId` is replied to after the commit. */
 export const appendCommand = (replica: Replica, command: Command, requestId: string | undefined): ControlStep => {
   const entry: LogEntry = { index: lastIndexOf(replica) + 1, term: replica.term, command };
-  const longerReplica: Replica = {
+  const extendedReplica: Replica = {
     ...replica,
     entries: [...replica.entries, entry],
     pendingRequests:
       requestId === undefined ? replica.pendingRequests : withEntry(replica.pendingRequests, entry.index, requestId),
   };
-  const kept = stepOf(longerReplica, { type: 'persist', record: { type: 'entries', entries: [entry] } });
-  return andThen(andThen(kept, broadcastAppend), advanceCommit);
+  const persistedStep = stepOf(extendedReplica, { type: 'persist', record: { type: 'entries', entries: [entry] } });
+  return andThen(andThen(persistedStep, broadcastAppend), advanceCommit);
 };
 
-/** Answers the reads that a majority has confirmed since they began. */
+/**
+ * Answers the reads whose round a majority of the voters has acknowledged (read index). None is answered before the
+ * leader has committed an entry of its own term, since its commit index may be stale until then.
+ */
 export const completeReads = (replica: Replica): ControlStep => {
   if (!hasCommittedInTerm(replica)) return stepOf(replica);
   const voters = votersOf(replica);
--- a/src/control/machine/roles.ts
+++ b/src/control/machine/roles.ts
@@ -7,10 +7,11 @@
 import type { Role } from './role.js';
 import { electionTimeoutUs } from './timing.js';
 
+/** A random deadline, one to two election timeouts from now, so that candidates rarely split the vote. */
 export const drawElectionDeadline = (replica: Replica, chance: number): Micros =>
   replica.atUs + electionTimeoutUs + Math.floor(chance * electionTimeoutUs);
 
-/** The role of a machine that neither leads nor stands for election. */
+/** The role of a replica that neither leads nor takes part in an election as a candidate. */
 export const passiveRoleOf = (replica: Replica): Role => {
   if (membersOf(replica).length === 0) return 'unfounded';
   return isVoter(replica, replica.identity) ? 'follower' : 'learner';
@@ -21,11 +22,14 @@
     ? []
     : [{ type: 'role', role: replica.role, term: replica.term, leader: replica.leader }];
 
-/** Goes to another role; what was asked of a leader that steps down is undecided, its reads begin anew. */
+/**
+ * Changes the role. A leader that steps down drops its volatile state: its pending proposals are undecided, its reads
+ * get the reply `not-leader`, so that they are repeated at another node.
+ */
 export const changeRole = (replica: Replica, change: Partial<Replica>): ControlStep => {
   const changedReplica = { ...replica, ...change };
   const stepsDown = replica.role === 'leader' && changedReplica.role !== 'leader';
-  const restedReplica: Replica = stepsDown
+  const newReplica: Replica = stepsDown
     ? {
         ...changedReplica,
         pendingRequests: new Map(),
@@ -38,7 +42,7 @@
       }
     : changedReplica;
   return stepOf(
-    restedReplica,
+    newReplica,
     ...(stepsDown
       ? [...replica.pendingRequests.values()].map((requestId): ControlEffect => ({
           type: 'reply',
@@ -53,11 +57,11 @@
           reply: { type: 'not-leader', leader: undefined },
         }))
       : []),
-    ...roleEffects(replica, restedReplica),
+    ...roleEffects(replica, newReplica),
   );
 };
 
-/** Follows a term, and the leader of it when that is known. */
+/** Follows a leader, if it is known, in a term; a newer term clears the vote and is persisted. */
 export const becomeFollower = (
   replica: Replica,
   term: number,
@@ -80,6 +84,7 @@
     : step;
 };
 
+/** Replaces the log from the index of the first given entry on. */
 export const replaceLogSuffix = (replica: Replica, entries: readonly LogEntry[]): Replica => {
   const firstIndex = entries[0]?.index;
   if (firstIndex === undefined) return replica;
--- a/src/control/machine/timing.ts
+++ b/src/control/machine/timing.ts
@@ -1,36 +1,44 @@
 import type { Micros } from '../../common/micros.js';
 
+/** The time-outs and size limits of the replicated log. */
+
 export const heartbeatIntervalUs: Micros = 100_000;
 export const electionTimeoutUs: Micros = 500_000;
-/** A leader that has heard no majority of the voters for so long steps down. */
+/** A leader without contact to a majority of the voters for this time steps down (check quorum). */
 export const leaderSilenceUs: Micros = electionTimeoutUs * 2;
-/** For so long a leader's disk may be busy with one sync before its heartbeats end. */
+/** How long a leader sends heartbeats while its disk is busy with one sync. */
 export const diskStallLimitUs: Micros = 1_500_000;
-/** For how long a batch of entries or a snapshot piece may go without progress before it is sent again, at first. */
+/** The initial retransmission timeout of a batch of entries or a snapshot piece. */
 export const resendTimeoutUs: Micros = 200_000;
-/** The longest retransmission timeout: it doubles up to here while there is no progress. */
+/** The maximal retransmission timeout: it doubles up to this value while there is no progress. */
 export const maxResendTimeoutUs: Micros = 800_000;
-/** A transfer that has made no progress for so long no longer holds back compaction. */
+/** A snapshot transfer without progress for this time no longer defers compaction. */
 export const stalledTransferUs: Micros = 5_000_000;
-/** How many times its usual size the log may reach while a transfer that makes progress holds back compaction. */
+/** The factor by which the log may exceed its size limits while compaction is deferred by a snapshot transfer. */
 export const heldCompactionFactor = 4;
-/** The most characters of an encoded snapshot that go in one message. */
+/** The size limit of a snapshot piece, in characters of the encoded snapshot. */
 export const snapshotPieceChars = 128 << 10;
+/** After this time without contact to a leader, a member sends join requests to all known addresses. */
 export const rejoinTimeoutUs: Micros = 2_000_000;
-/** A voter unheard for so long may be replaced by a learner that has caught up; one whose address has been taken over by that learner, earlier. */
+/**
+ * A voter without contact for this time may be replaced by a caught-up learner; sooner if the learner runs at its
+ * address.
+ */
 export const deadMemberTimeoutUs: Micros = 2_000_000;
-/** An answer of an address about the identity that lives there counts for so long after it was asked for. */
+/** How long after an `identify` message a reply to it is accepted. */
 export const identifyTimeoutUs: Micros = 1_000_000;
-/** A join that could not be confirmed or proposed for so long is dropped; its sender asks again. */
+/** A join that could not be confirmed or proposed within this time is dropped; its sender repeats it. */
 export const joinTimeoutUs: Micros = 3_000_000;
-/** For so long a voter's notice that it is about to stop counts. */
+/** How long a voter's notice that it is about to stop is valid. */
 export const leaveNoticeUs: Micros = 500_000;
+/** The number of joins that a leader validates at a time; further ones are ignored until their senders repeat them. */
 export const maxJoinChecks = 16;
-/** For so long a leader that is to stop tries to bring a successor up to date. */
+/** How long a leader that is about to stop tries to bring a successor up to date. */
 export const transferTimeoutUs: Micros = 500_000;
+/** A learner without contact for this time is removed. */
 export const learnerTimeoutUs: Micros = 60_000_000;
 export const maxEntriesPerAppend = 64;
-/** Texts of setups that go in one batch, be it to a partner or to the disk; one that is larger goes alone. */
+/** The size limit of the operators' documents in one batch, to a member or to the disk; a larger one goes alone. */
 export const maxAppendTextChars = 1 << 20;
 export const maxLogEntries = 2048;
 export const maxLogConfigurations = 16;
--- a/src/control/state/claims.ts
+++ b/src/control/state/claims.ts
@@ -6,7 +6,7 @@
 import type { Claim } from './claim.js';
 import type { ReplicatedState } from './replicated-state.js';
 
-/** How long a claimed key stays with its exchange. */
+/** How long a claim is retained, by the replicated clock; afterwards the key can be claimed again. */
 export const claimKeepUs: Micros = 900_000_000;
 export const mostClaims = 100_000;
 const bucketCount = 512;
@@ -19,13 +19,13 @@
   claimCount: state.claimCount + claims.size - (state.buckets.get(bucket)?.size ?? 0),
 });
 
-const freshClaims = (state: ReplicatedState, bucket: number): ReadonlyMap<string, Claim> =>
+const unexpiredClaims = (state: ReplicatedState, bucket: number): ReadonlyMap<string, Claim> =>
   new Map([...(state.buckets.get(bucket) ?? [])].filter(([, claim]) => claim.atUs + claimKeepUs > state.clockUs));
 
-/** Gives a key to the first exchange that claims it. */
+/** Assigns a key to the first exchange that claims it; drops the expired claims of the key's bucket. */
 export const applyClaim = (state: ReplicatedState, command: Extract<Command, { readonly type: 'claim' }>): Applied => {
   const bucket = bucketOf(command.key);
-  const claims = freshClaims(state, bucket);
+  const claims = unexpiredClaims(state, bucket);
   const heldClaim = claims.get(command.key);
   if (heldClaim !== undefined)
     return {
@@ -44,16 +44,16 @@
   };
 };
 
-/** Gives a key back; only its holder can. */
+/** Releases a key if the exchange holds it; drops the expired claims of the key's bucket. */
 export const applyRelease = (
   state: ReplicatedState,
   command: Extract<Command, { readonly type: 'release' }>,
 ): Applied => {
   const bucket = bucketOf(command.key);
-  const keptClaims = new Map(
-    [...freshClaims(state, bucket)].filter(
+  const remainingClaims = new Map(
+    [...unexpiredClaims(state, bucket)].filter(
       ([key, claim]) => key !== command.key || claim.exchange !== command.exchange,
     ),
   );
-  return { state: withBucket(state, bucket, keptClaims), outcome: { type: 'done' } };
+  return { state: withBucket(state, bucket, remainingClaims), outcome: { type: 'done' } };
 };
--- a/src/control/state/configuration-orders.ts
+++ b/src/control/state/configuration-orders.ts
@@ -13,7 +13,10 @@
 
 const currentRevisionOf = (state: ReplicatedState): number => state.record?.revision ?? 0;
 
-/** What is known of a proposal by its id, of either kind. */
+/**
+ * The outcome of a proposal by its id, with an operator's document or without; undefined if it is not
+ * decided or no longer remembered.
+ */
 export const findProposalOutcome = (state: ReplicatedState, proposal: string): ProposalOutcome | undefined => {
   const document = findDocumentOfProposal(state.documents, proposal);
   return document === undefined
@@ -21,7 +24,7 @@
     : { type: 'committed', revision: document.revision };
 };
 
-const withRememberedProposal = (state: ReplicatedState, proposal: string, outcome: ProposalOutcome): Applied =>
+const decideProposal = (state: ReplicatedState, proposal: string, outcome: ProposalOutcome): Applied =>
   appliedProposal({ ...state, proposals: rememberProposal(state.proposals, proposal, outcome) }, outcome);
 
 const nextRecord = (state: ReplicatedState, command: SetupCommand): SetupRecord => ({
@@ -32,17 +35,19 @@
   epochs: epochsAfter(state.record, { sinceUs: state.clockUs, warmup: command.setup.warmup }),
 });
 
-/** The race of proposals by the revision they build on; a decided proposal keeps its outcome. */
-const applyRevisionOrder = (state: ReplicatedState, command: SetupCommand): Applied => {
+/**
+ * Decides a proposal without a document by optimistic concurrency: it is committed only if its expected revision is the
+ * current one. A repeated proposal gets its first outcome again.
+ */
+const applyRevisionProposal = (state: ReplicatedState, command: SetupCommand): Applied => {
   const knownOutcome = findProposalOutcome(state, command.proposal);
   if (knownOutcome !== undefined) return appliedProposal(state, knownOutcome);
   const revision = currentRevisionOf(state);
-  const mayBeForgotten = command.expected < Math.min(revision, state.proposals.forgottenRevision);
-  if (mayBeForgotten) return appliedProposal(state, { type: 'forgotten', revision });
-  if (command.expected !== revision)
-    return withRememberedProposal(state, command.proposal, { type: 'conflict', revision });
+  const isPossiblyForgotten = command.expected < Math.min(revision, state.proposals.forgottenRevision);
+  if (isPossiblyForgotten) return appliedProposal(state, { type: 'forgotten', revision });
+  if (command.expected !== revision) return decideProposal(state, command.proposal, { type: 'conflict', revision });
   const record = nextRecord(state, command);
-  return withRememberedProposal({ ...state, record }, command.proposal, {
+  return decideProposal({ ...state, record }, command.proposal, {
     type: 'committed',
     revision: record.revision,
   });
@@ -56,11 +61,12 @@
 };
 
 /**
- * The race of operators' own documents, by their own versions. A committed document is acknowledged whenever it is sent
- * again, and its version is never given to another text. A conflict is not remembered, since the same document may be put
- * on top of the right version later; only where its base was not current yet does the refusal stay final for a while.
+ * Decides a proposal with an operator's own document by optimistic concurrency on the document's version. A repeated
+ * proposal of a committed document is acknowledged again, and its version can't be committed with another text. A
+ * conflict is not remembered, since the same document may be proposed on the right version later; only if its expected
+ * version was not committed yet, the refusal is final for a while (see `refusalRetentionUs`).
  */
-const applyDocumentOrder = (state: ReplicatedState, command: SetupCommand, original: Original): Applied => {
+const applyDocumentProposal = (state: ReplicatedState, command: SetupCommand, original: Original): Applied => {
   const revision = currentRevisionOf(state);
   const order = { version: original.version, digest: digestOfText(original.text), expectedVersion: command.expected };
   const committed = state.documents.committed.entries.get(order.version);
@@ -86,16 +92,16 @@
   return appliedProposal({ ...state, refusedOrders }, { type: 'conflict', revision });
 };
 
-/** Decides a proposed configuration. */
+/** Decides the proposal of a setup. */
 export const applySetup = (state: ReplicatedState, command: SetupCommand): Applied =>
   command.original === undefined
-    ? applyRevisionOrder(state, command)
-    : applyDocumentOrder(state, command, command.original);
+    ? applyRevisionProposal(state, command)
+    : applyDocumentProposal(state, command, command.original);
 
-/** Cancels a proposal unless it is decided; it can never be committed afterwards. */
+/** Cancels a proposal unless it is decided already; a cancelled proposal can never be committed. */
 export const applyCancel = (state: ReplicatedState, proposal: string): Applied => {
   const knownOutcome = findProposalOutcome(state, proposal);
   return knownOutcome === undefined
-    ? withRememberedProposal(state, proposal, { type: 'cancelled', revision: currentRevisionOf(state) })
+    ? decideProposal(state, proposal, { type: 'cancelled', revision: currentRevisionOf(state) })
     : appliedProposal(state, knownOutcome);
 };
--- a/src/control/state/outcome.ts
+++ b/src/control/state/outcome.ts
@@ -1,6 +1,6 @@
 import type { ProposalOutcome } from './proposal-outcome.js';
 
-/** What applying an entry came to. */
+/** The outcome of an applied command. `claims-full`: refused at the limit of claims. */
 export type Outcome =
   | { readonly type: 'done' }
   | { readonly type: 'claimed'; readonly won: boolean; readonly holder: string }
--- a/src/control/state/refused-orders.ts
+++ b/src/control/state/refused-orders.ts
@@ -2,17 +2,20 @@
 import type { Micros } from '../../common/micros.js';
 
 /**
- * How long the refusal of an order on top of a version that is not current yet stays final. One call may stand twice in
- * the log; the second copy must not be committed after the first has been refused. A call and its copies are on their
- * way for at most a few seconds.
+ * How long the refusal of a document whose expected version is not committed yet is final. One request may be in the
+ * log twice, and the second copy must not be committed after the first was refused. A request and its copies are in
+ * transit for at most a few seconds.
  */
 export const refusalKeepUs: Micros = 10_000_000;
 export const maxRefusedOrders = 1_024;
 
-/** Orders that were refused since their base was not current yet, with the time of the refusal, oldest first. */
+/**
+ * Proposals that were refused because their expected version was not committed yet, with the time of refusal, oldest
+ * first.
+ */
 export type RefusedOrders = BoundedMap<string, Micros>;
 
-/** An order: a document on top of a base version. */
+/** The proposal of a document that replaces the document of an expected version. */
 export type DocumentOrder = {
   readonly version: number;
   readonly digest: string;
--- a/src/control/state/state-digest.ts
+++ b/src/control/state/state-digest.ts
@@ -24,12 +24,12 @@
   ]);
 
 /**
- * A short text that is equal where two replicated states are; it is drawn once for each state. A bucket whose claims have
- * all gone says the same as one that never was: a snapshot does not hold it.
+ * A SHA-256 digest of a replicated state, equal for equal states; computed once per state. An empty bucket counts as a
+ * missing one, since a snapshot does not contain it.
  */
 export const stateDigestOf = (state: ReplicatedState): string => {
-  const known = digests.get(state);
-  if (known !== undefined) return known;
+  const cached = digests.get(state);
+  if (cached !== undefined) return cached;
   const digest = createHash('sha256').update(textOf(state)).digest('hex');
   digests.set(state, digest);
   return digest;
--- a/src/control/wire/snapshot-codec.ts
+++ b/src/control/wire/snapshot-codec.ts
@@ -4,9 +4,9 @@
 import { memberSchema } from './command-guard.js';
 import { decodeOrderHistory, encodeOrderHistory, orderHistorySchema } from './order-history-codec.js';
 
-const claimForm = /^\d+ \d+ \S+ \S+$/;
+const claimPattern = /^\d+ \d+ \S+ \S+$/;
 
-/** The form of a snapshot on the wire and on disk, with lists in place of maps. */
+/** The encoded form of a snapshot, on the wire and on disk, with lists in place of maps. */
 export const snapshotSchema = object({
   index: number().required().integer().min(0),
   term: number().required().integer().min(0),
@@ -14,8 +14,8 @@
   clockUs: number().required().integer(),
   record: mixed(isSetupRecord).optional().default(undefined),
   orders: orderHistorySchema,
-  /** Each claim as one text: bucket, time, exchange and key. */
-  claims: array(string().required().matches(claimForm)).required(),
+  /** Each claim as one text: bucket, time, exchange and key, separated by spaces. */
+  claims: array(string().required().matches(claimPattern)).required(),
 }).required();
 
 export type PlainSnapshot = InferType<typeof snapshotSchema>;
--- a/tests/control/partial-snapshot.test.ts
+++ b/tests/control/partial-snapshot.test.ts
@@ -28,13 +28,13 @@
 const after = (pieces: readonly Piece[]): PartialSnapshot | undefined =>
   pieces.reduce<PartialSnapshot | undefined>(withPiece, undefined);
 
-test('pieces that come twice, late or too early leave what is there without a gap', () => {
+test('duplicated, delayed and early pieces leave the received text without a gap', () => {
   assert.is(after([piece(0), piece(0), piece(6), piece(3), piece(0), piece(3)])?.text, 'abcdef');
   const whole = after([piece(0), piece(3), piece(6)]);
   assert.ok(whole !== undefined && whole.text === text && isWhole(whole));
 });
 
-test('a piece of another snapshot or another term starts anew, and never joins what was there', () => {
+test('a piece of another snapshot or another term discards the received text, and is never appended to it', () => {
   const changes: readonly Partial<Piece>[] = [
     { term: 4 },
     { snapshotIndex: 51 },
@@ -48,15 +48,15 @@
   }
 });
 
-test('a late piece of an older snapshot of the same term drops nothing', () => {
+test('a delayed piece of an older snapshot of the same term is ignored', () => {
   assert.is(after([piece(0), piece(3), piece(0, { snapshotIndex: 49 })])?.text, 'abcdef');
 });
 
-test('a piece that passes the total is not taken', () => {
+test('a piece that exceeds the total is ignored', () => {
   assert.is(after([piece(0), piece(3), piece(6, { piece: 'ghij' })])?.text, 'abcdef');
 });
 
-test('the guard of messages refuses pieces and totals beyond the bounds', () => {
+test('the message guard refuses pieces and totals outside their limits', () => {
   assert.ok(isPlainMessage(piece(0)));
   for (const change of [
     { piece: '' },
@@ -69,7 +69,7 @@
     assert.not.ok(isPlainMessage(piece(0, change)), Object.keys(change)[0]);
 });
 
-test('a text that differs from its digest is dropped, and asked for from the beginning', () => {
+test('a complete text that does not match its digest is dropped, and requested again from the start', () => {
   const encoded = encodeSnapshotText({ ...startSnapshot, index: 50, term: 2 });
   const whole = piece(0, { piece: encoded.text, total: encoded.text.length, digest: 'f'.repeat(64) });
   const step = stepControl(startReplica('a', 'a:1', []), {
@@ -84,7 +84,7 @@
   assert.equal([step.replica.partialSnapshot, step.replica.commit], [undefined, 0]);
 });
 
-test('the text is ASCII, and gives the same snapshot back', () => {
+test('the encoded text is ASCII, and decodes to the same snapshot', () => {
   const original = { version: 1, text: 'größe = "≥ 3 🚚"\n' };
   const record = { revision: 1, takenAtUs: 1, setup: sampleSetup('é'), original, epochs: [] };
   const snapshot = { ...startSnapshot, index: 7, term: 2, state: { ...startSnapshot.state, record } };
--- a/tests/control/pure-core.ts
+++ b/tests/control/pure-core.ts
@@ -1,7 +1,7 @@
 /**
- * A core of pure control machines in virtual time: messages with drawn delays, lost disks, restarts from the records
- * that were persisted, a spread that tells machines without a leader where others
- * are, and a watch over what was committed. Every run is given by its seed.
+ * A simulated core in virtual time, of control state machines without processes: messages with random delays, lost
+ * disks, restarts from the persisted records, gossip that gives nodes without a leader the addresses of the others, and
+ * checks of the committed entries. The seed determines a run.
  */
 import type { LogEntry } from '../../src/control/log/log-entry.js';
 import type { DurableRecord } from '../../src/control/log/durable-record.js';
@@ -14,10 +14,10 @@
 import { recoverReplica } from '../../src/control/persistence/recovery.js';
 
 const tickUs = 25_000;
-const leastDelayUs = 200;
-const delaySpanUs = 3_000;
+const minDelayUs = 200;
+const delayRangeUs = 3_000;
 
-/** One machine at an address; its identity changes when its disk is lost. */
+/** A control node at an address; its identity changes when its disk is lost. */
 export type PureMachine = {
   readonly address: string;
   readonly replica: Replica;
@@ -35,7 +35,7 @@
   readonly message: ControlMessage;
 };
 
-/** What a test does with the core, and what it sees of it. */
+/** The interface of the simulated core for tests. */
 export type PureCore = {
   readonly chance: () => number;
   readonly now: () => number;
@@ -44,21 +44,21 @@
   readonly leader: () => PureMachine | undefined;
   readonly voterAddresses: () => readonly string[];
   readonly playFor: (spanUs: number) => void;
-  /** Plays until something holds; false when it does not within the span. */
+  /** Plays until the condition holds; false if it does not hold within the time. */
   readonly playUntil: (holds: () => boolean, spanUs: number) => boolean;
   readonly event: (address: string, event: ControlEvent) => readonly ControlEffect[];
   readonly stop: (address: string) => void;
   readonly restart: (address: string) => void;
-  /** Starts a machine with an empty disk, at a known address or at another one. */
+  /** Starts a node with an empty disk and a new identity, at the address of an existing node or a new one. */
   readonly startEmpty: (address: string) => void;
-  /** From now on this share of the messages is lost. */
+  /** Sets the share of messages that are lost from now on. */
   readonly lose: (share: number) => void;
   readonly deliver: (from: string, toAddress: string, message: ControlMessage) => void;
-  /** Committed entries that changed, and leaders that lack committed entries. */
+  /** Violations: committed entries that changed, and leaders that lack committed entries. */
   readonly broken: () => readonly string[];
 };
 
-const drawsOf = (seed: number): (() => number) => {
+const randomOf = (seed: number): (() => number) => {
   let state = (seed * 2_654_435_761 + 1) >>> 0;
   return () => {
     state = (state + 0x6d2b79f5) >>> 0;
@@ -68,40 +68,42 @@
   };
 };
 
-/** Opens a core whose seeds start at once; `doubled` is the share of messages that come again up to a second later. */
-export const openPureCore = (seed: number, seeds: readonly string[], voters: number, doubled = 0): PureCore => {
-  const chance = drawsOf(seed);
+/**
+ * Opens a core whose seeds start at once; `duplicated` is the share of messages that arrive again up to a second later.
+ */
+export const openPureCore = (seed: number, seeds: readonly string[], voters: number, duplicated = 0): PureCore => {
+  const chance = randomOf(seed);
   const machines = new Map<string, PureMachine>();
-  const brokenRules: string[] = [];
+  const violations: string[] = [];
   const committed = new Map<number, string>();
   let frames: readonly Frame[] = [];
   let nowUs = 0;
-  let lives = 0;
+  let identityCount = 0;
   let lostShare = 0;
 
   const at = (address: string): PureMachine => {
     const machine = machines.get(address);
-    if (machine === undefined) throw new Error(`no machine at ${address}`);
+    if (machine === undefined) throw new Error(`no node at ${address}`);
     return machine;
   };
 
   const textOf = (entry: LogEntry): string => `${entry.term} ${JSON.stringify(entry.command)}`;
 
-  const noteCommits = (before: Replica, after: Replica): void => {
+  const checkCommits = (before: Replica, after: Replica): void => {
     for (let index = before.commit + 1; index <= after.commit; index += 1) {
       const entry = entryAt(after, index);
       if (entry === undefined) continue;
       const known = committed.get(index);
       if (known !== undefined && known !== textOf(entry))
-        brokenRules.push(`index ${index}: ${known} / ${textOf(entry)}`);
+        violations.push(`index ${index}: ${known} / ${textOf(entry)}`);
       committed.set(index, textOf(entry));
     }
     if (before.role === 'leader' || after.role !== 'leader') return;
     for (const [index, text] of committed) {
       const entry = entryAt(after, index);
-      const isFolded = index <= after.snapshot.index;
-      if (!isFolded && (entry === undefined || textOf(entry) !== text))
-        brokenRules.push(`${after.identity} leads term ${after.term} without the committed entry ${index}`);
+      const isCompacted = index <= after.snapshot.index;
+      if (!isCompacted && (entry === undefined || textOf(entry) !== text))
+        violations.push(`${after.identity} leads term ${after.term} without the committed entry ${index}`);
     }
   };
 
@@ -109,28 +111,33 @@
     membersOf(machine.replica).find((member) => member.identity === identity)?.address ??
     machine.knownAddresses.get(identity);
 
-  const post = (machine: PureMachine, toAddress: string, to: string | undefined, message: ControlMessage): void => {
+  const sendMessage = (
+    machine: PureMachine,
+    toAddress: string,
+    to: string | undefined,
+    message: ControlMessage,
+  ): void => {
     const frame = { from: machine.replica.identity, fromAddress: machine.address, toAddress, to, message };
     if (chance() < lostShare) return;
-    frames = [...frames, { ...frame, dueUs: nowUs + leastDelayUs + Math.floor(chance() * delaySpanUs) }];
-    if (chance() < doubled) frames = [...frames, { ...frame, dueUs: nowUs + Math.floor(chance() * 1_000_000) }];
+    frames = [...frames, { ...frame, dueUs: nowUs + minDelayUs + Math.floor(chance() * delayRangeUs) }];
+    if (chance() < duplicated) frames = [...frames, { ...frame, dueUs: nowUs + Math.floor(chance() * 1_000_000) }];
   };
 
   const execute = (machine: PureMachine, effect: ControlEffect): void => {
-    if (effect.type === 'sendTo') post(machine, effect.address, undefined, effect.message);
+    if (effect.type === 'sendTo') sendMessage(machine, effect.address, undefined, effect.message);
     if (effect.type !== 'send') return;
     const toAddress = addressOf(machine, effect.to);
-    if (toAddress !== undefined) post(machine, toAddress, effect.to, effect.message);
+    if (toAddress !== undefined) sendMessage(machine, toAddress, effect.to, effect.message);
   };
 
-  const event = (address: string, heard: ControlEvent): readonly ControlEffect[] => {
+  const event = (address: string, received: ControlEvent): readonly ControlEffect[] => {
     const machine = at(address);
-    const step = stepControl(machine.replica, heard);
-    noteCommits(machine.replica, step.replica);
+    const step = stepControl(machine.replica, received);
+    checkCommits(machine.replica, step.replica);
     const persisted = step.effects.flatMap((effect) => (effect.type === 'persist' ? [effect.record] : []));
-    const steppedMachine = { ...machine, replica: step.replica, records: [...machine.records, ...persisted] };
-    machines.set(address, steppedMachine);
-    step.effects.forEach((effect) => execute(steppedMachine, effect));
+    const updatedMachine = { ...machine, replica: step.replica, records: [...machine.records, ...persisted] };
+    machines.set(address, updatedMachine);
+    step.effects.forEach((effect) => execute(updatedMachine, effect));
     return step.effects;
   };
 
@@ -147,7 +154,7 @@
     const endUs = nowUs + tickUs;
     for (;;) {
       const next = frames.reduce<Frame | undefined>(
-        (soonest, frame) => (soonest === undefined || frame.dueUs < soonest.dueUs ? frame : soonest),
+        (earliest, frame) => (earliest === undefined || frame.dueUs < earliest.dueUs ? frame : earliest),
         undefined,
       );
       if (next === undefined || next.dueUs > endUs) break;
@@ -165,8 +172,8 @@
   };
 
   const startEmpty = (address: string): void => {
-    lives += 1;
-    const replica = startReplica(`${address}#${lives}`, address, seeds, nowUs === 0, voters);
+    identityCount += 1;
+    const replica = startReplica(`${address}#${identityCount}`, address, seeds, nowUs === 0, voters);
     const records: readonly DurableRecord[] = [
       { type: 'identity', identity: replica.identity, founds: replica.founds },
     ];
@@ -175,8 +182,8 @@
 
   const restart = (address: string): void => {
     const machine = at(address);
-    const bornReplica = startReplica(machine.replica.identity, address, seeds, machine.replica.founds, voters);
-    const replica = recoverReplica(bornReplica, machine.records);
+    const emptyReplica = startReplica(machine.replica.identity, address, seeds, machine.replica.founds, voters);
+    const replica = recoverReplica(emptyReplica, machine.records);
     machines.set(address, { ...machine, replica, isUp: true, knownAddresses: new Map() });
   };
 
@@ -193,10 +200,10 @@
     addresses: () => [...machines.keys()],
     leader,
     voterAddresses: () => {
-      const leading = leader();
-      return leading === undefined
+      const leaderNode = leader();
+      return leaderNode === undefined
         ? []
-        : votersOf(leading.replica)
+        : votersOf(leaderNode.replica)
             .map((member) => member.address)
             .sort();
     },
@@ -216,25 +223,25 @@
     lose: (share) => void (lostShare = share),
     deliver: (from, toAddress, message) =>
       deliverFrame({ dueUs: nowUs, from, fromAddress: `${from}:lost`, toAddress, to: undefined, message }),
-    broken: () => brokenRules,
+    broken: () => violations,
   };
 };
 
-/** Whether a leader has committed an entry of its own term, so that it can serve. */
+/** Whether a leader has committed an entry of its own term, so that it can serve requests. */
 export const isServed = (core: PureCore): boolean => {
-  const leading = core.leader()?.replica;
-  return leading !== undefined && termAt(leading, leading.commit) === leading.term;
+  const leaderNode = core.leader()?.replica;
+  return leaderNode !== undefined && termAt(leaderNode, leaderNode.commit) === leaderNode.term;
 };
 
-/** Whether the voters are exactly those of some addresses, all caught up, with nothing left to commit. */
+/** Whether the voters are exactly the nodes at the addresses, all caught up, with no uncommitted entry. */
 export const isSettledOn = (core: PureCore, addresses: readonly string[]): boolean => {
-  const leading = core.leader()?.replica;
-  if (leading === undefined || leading.commit !== lastIndexOf(leading)) return false;
+  const leaderNode = core.leader()?.replica;
+  if (leaderNode === undefined || leaderNode.commit !== lastIndexOf(leaderNode)) return false;
   if (core.voterAddresses().join() !== [...addresses].sort().join()) return false;
-  return votersOf(leading).every((voter) => {
+  return votersOf(leaderNode).every((voter) => {
     const machine = core.at(voter.address);
     return (
-      machine.isUp && machine.replica.identity === voter.identity && lastIndexOf(machine.replica) === leading.commit
+      machine.isUp && machine.replica.identity === voter.identity && lastIndexOf(machine.replica) === leaderNode.commit
     );
   });
 };
