--- a/src/control/machine/bootstrap.ts
+++ b/src/control/machine/bootstrap.ts
@@ -144,9 +144,9 @@
   parseOffer(offer).some((member) => member.identity === identity);
 
 /**
- * Starts the core that the sender of a probe has started, if its offer names this node. An offer is a promise: a core
- * of another offer is followed only if the sender is a member of this node's own offer, since that member then has
- * never made this node's offer and never will.
+ * Starts the core that the sender of a probe has started, if its offer names this node. A node must not contradict its
+ * own offer: a core of another offer is followed only if the sender is a member of this node's own offer, since that
+ * member then has never made this node's offer and never will.
  */
 const followBootstrap = (replica: Replica, message: Probe, chance: number): ControlStep => {
   const { offer } = message;
@@ -174,10 +174,10 @@
  */
 const recordReply = (replica: Replica, message: Probe): Replica => {
   const { identity, address, offer, founded: isFounded, founds, nonce } = message;
-  const isCounted =
+  const isFirstReply =
     message.type === 'probeReply' && nonce === replica.probeNonce && replica.probes.get(address)?.nonce !== nonce;
   const probe: SeedProbe = { identity, offer, founded: isFounded, founds, nonce };
-  return isCounted ? { ...replica, probes: withEntry(replica.probes, address, probe) } : replica;
+  return isFirstReply ? { ...replica, probes: withEntry(replica.probes, address, probe) } : replica;
 };
 
 const requestJoin = (replica: Replica, address: string): ControlStep =>
--- a/src/control/machine/invariants.ts
+++ b/src/control/machine/invariants.ts
@@ -57,8 +57,11 @@
   entries.forEach((entry, offset) => {
     const previous = entries[offset - 1];
     if (previous === undefined) return;
-    invariant(entry.index === previous.index + 1, `entry ${entry.index} follows entry ${previous.index}`);
-    invariant(entry.term >= previous.term, `entry ${entry.index} has term ${entry.term}, below ${previous.term}`);
+    invariant(entry.index === previous.index + 1, `entry ${entry.index} directly follows entry ${previous.index}`);
+    invariant(
+      entry.term >= previous.term,
+      `entry ${entry.index} has term ${entry.term}, below the previous term ${previous.term}`,
+    );
   });
 
 /**
--- a/src/control/machine/joins.ts
+++ b/src/control/machine/joins.ts
@@ -18,7 +18,7 @@
 type Identified = Extract<ControlMessage, { readonly type: 'identified' }>;
 
 /**
- * Asks the node at a join's address for its identity. A term has one leader and its rounds increase, so nonces are
+ * Requests the identity of the node at a join's address. A term has one leader and its rounds increase, so nonces are
  * unique.
  */
 const requestIdentity = (replica: Replica, join: Pick<JoinCheck, 'identity' | 'address' | 'sinceUs'>): ControlStep => {
@@ -67,7 +67,7 @@
 
 /**
  * Admits a confirmed node: as a learner, or in its old role if only its address changed. Other learners at its address
- * go.
+ * are removed.
  */
 const admit = (replica: Replica, { identity, address }: JoinCheck): ControlStep => {
   const members = membersOf(replica);
--- a/src/control/machine/leader.ts
+++ b/src/control/machine/leader.ts
@@ -35,13 +35,13 @@
 export const onAppendReply = (replica: Replica, from: string, message: AppendReply, chance: number): ControlStep => {
   const progress = replica.progress.get(from);
   if (replica.role !== 'leader' || progress === undefined || message.term !== replica.term) return stepOf(replica);
-  const withReply = withContact(progress, message.round, replica.atUs);
+  const afterContact = withContact(progress, message.round, replica.atUs);
   const match = message.matches ? Math.max(progress.match, message.index) : progress.match;
   const next = nextIndexAfter(replica, progress, message);
   const hasMoved = match !== progress.match || next !== progress.next;
-  const updated = hasMoved ? withTransferMoved(withProgressMade(withReply), replica.atUs) : withReply;
-  const updatedReplica = { ...replica, progress: withEntry(replica.progress, from, { ...updated, match, next }) };
-  const commitStep = advanceCommit(updatedReplica);
+  const updated = hasMoved ? withTransferMoved(withProgressMade(afterContact), replica.atUs) : afterContact;
+  const afterReply = { ...replica, progress: withEntry(replica.progress, from, { ...updated, match, next }) };
+  const commitStep = advanceCommit(afterReply);
   const readStep = andThen(commitStep, completeReads);
   const sendStep = andThen(readStep, (afterReads) => {
     const afterCompletion = withFinishedTransfer(afterReads, from);
@@ -54,10 +54,10 @@
 
 /** Handles the acknowledgement of a snapshot piece, which counts as contact: sends the next piece. */
 export const onInstallSnapshotReply = (replica: Replica, from: string, message: PieceReply): ControlStep => {
-  const updatedReplica = withPieceReply(replica, from, message);
-  const progress = updatedReplica.progress.get(from);
-  if (updatedReplica === replica || progress === undefined) return stepOf(replica);
-  return andThen(completeReads(updatedReplica), (afterReads) =>
+  const afterReply = withPieceReply(replica, from, message);
+  const progress = afterReply.progress.get(from);
+  if (afterReply === replica || progress === undefined) return stepOf(replica);
+  return andThen(completeReads(afterReply), (afterReads) =>
     needsSnapshot(afterReads, progress) ? sendSnapshotPiece(afterReads, from, progress) : stepOf(afterReads),
   );
 };
@@ -89,8 +89,8 @@
 };
 
 const sendHeartbeats = (replica: Replica): ControlStep => {
-  const heartbeatUs = replica.atUs + heartbeatIntervalUs;
-  const sendStep = broadcastAppend({ ...replica, round: replica.round + 1, heartbeatUs });
+  const nextUs = replica.atUs + heartbeatIntervalUs;
+  const sendStep = broadcastAppend({ ...replica, round: replica.round + 1, heartbeatUs: nextUs });
   const joinStep = andThen(sendStep, continueJoins);
   const membershipStep = andThen(joinStep, reconcileMembers);
   return andThen(membershipStep, completeReads);
--- a/src/control/machine/leave.ts
+++ b/src/control/machine/leave.ts
@@ -25,6 +25,6 @@
 /** Records the notice of a voter that is about to stop, which is valid for a short time only. */
 export const onLeave = (replica: Replica, from: string, { identity }: Leave): ControlStep => {
   if (replica.role !== 'leader' || from !== identity || identity === replica.identity) return stepOf(replica);
-  const leavingUntilUs = withEntry(replica.leavingUntilUs, identity, replica.atUs + leaveNoticeUs);
-  return reconcileMembers({ ...replica, leavingUntilUs });
+  const expiryUs = withEntry(replica.leavingUntilUs, identity, replica.atUs + leaveNoticeUs);
+  return reconcileMembers({ ...replica, leavingUntilUs: expiryUs });
 };
--- a/src/control/machine/membership-change.ts
+++ b/src/control/machine/membership-change.ts
@@ -36,21 +36,26 @@
 const matchOf = (replica: Replica, member: Member): number =>
   member.identity === replica.identity ? lastIndexOf(replica) : (replica.progress.get(member.identity)?.match ?? 0);
 
-const silenceOf = (replica: Replica, member: Member): Micros =>
+const timeSinceContactUs = (replica: Replica, member: Member): Micros =>
   member.identity === replica.identity
     ? 0
     : replica.atUs - (replica.progress.get(member.identity)?.heardUs ?? replica.atUs);
 
 /** Whether a member was in contact within an election timeout and holds all committed entries. */
 const isCaughtUp = (replica: Replica, member: Member): boolean =>
-  matchOf(replica, member) >= replica.commit && silenceOf(replica, member) < electionTimeoutUs;
+  matchOf(replica, member) >= replica.commit && timeSinceContactUs(replica, member) < electionTimeoutUs;
 
-/** Whether a voter is silent and a caught-up learner runs at its address now, so that its disk must have been lost. */
+/**
+ * Whether a voter is out of contact and a caught-up learner runs at its address now, so that its disk must have been
+ * lost.
+ */
 const isReplacedVoter = (replica: Replica, voter: Member, readyLearners: readonly Member[]): boolean =>
-  silenceOf(replica, voter) >= electionTimeoutUs && readyLearners.some((learner) => learner.address === voter.address);
+  timeSinceContactUs(replica, voter) >= electionTimeoutUs &&
+  readyLearners.some((learner) => learner.address === voter.address);
 
-/** Whether a voter has been silent for longer than the timeout after which it is considered dead. */
-const isSilentVoter = (replica: Replica, voter: Member): boolean => silenceOf(replica, voter) > deadMemberTimeoutUs;
+/** Whether a voter has been out of contact for so long that it is considered dead. */
+const isDeadVoter = (replica: Replica, voter: Member): boolean =>
+  timeSinceContactUs(replica, voter) > deadMemberTimeoutUs;
 
 /** Whether an unexpired notice says that a voter is about to stop. */
 const isLeavingVoter = (replica: Replica, voter: Member): boolean =>
@@ -58,9 +63,9 @@
 
 /** Whether a majority of the remaining voters holds all committed entries, so that the removed one has no sole copy. */
 const mayRemoveVoter = (replica: Replica, leaving: Member): boolean => {
-  const stayingVoters = votersOf(replica).filter((voter) => voter !== leaving);
-  const holders = stayingVoters.filter((voter) => isCaughtUp(replica, voter));
-  return holders.length * 2 > stayingVoters.length;
+  const remainingVoters = votersOf(replica).filter((voter) => voter !== leaving);
+  const holders = remainingVoters.filter((voter) => isCaughtUp(replica, voter));
+  return holders.length * 2 > remainingVoters.length;
 };
 
 /**
@@ -71,7 +76,7 @@
   const removableVoters = votersOf(replica).filter((voter) => mayRemoveVoter(replica, voter));
   return (
     removableVoters.find((voter) => isReplacedVoter(replica, voter, readyLearners)) ??
-    removableVoters.find((voter) => isSilentVoter(replica, voter)) ??
+    removableVoters.find((voter) => isDeadVoter(replica, voter)) ??
     removableVoters.find((voter) => isLeavingVoter(replica, voter))
   );
 };
@@ -87,7 +92,7 @@
   const outgoingVoter = outgoingVoterOf(replica, readyLearners);
   if (readyLearner !== undefined && outgoingVoter !== undefined)
     return members.filter((member) => member !== outgoingVoter);
-  const lostLearner = members.find((member) => !member.voter && silenceOf(replica, member) > learnerTimeoutUs);
+  const lostLearner = members.find((member) => !member.voter && timeSinceContactUs(replica, member) > learnerTimeoutUs);
   return lostLearner === undefined ? undefined : members.filter((member) => member !== lostLearner);
 };
 
--- a/src/control/machine/replica.ts
+++ b/src/control/machine/replica.ts
@@ -85,6 +85,7 @@
 export const usualVoters = 3;
 export const usualStateLimitBytes = 24 << 20;
 
+/** The snapshot of an empty log. */
 export const startSnapshot: Snapshot = { index: 0, term: 0, members: [], state: startReplicatedState };
 
 /** A replica with an empty log that is in no core; `founds` says whether it may bootstrap one. */
@@ -93,7 +94,7 @@
   address: string,
   seeds: readonly string[],
   founds = true,
-  votersWanted = usualVoters,
+  voterCount = usualVoters,
   stateLimitBytes = usualStateLimitBytes,
 ): Replica => ({
   identity,
@@ -101,7 +102,7 @@
   seeds,
   knownAddresses: [],
   founds,
-  votersWanted,
+  votersWanted: voterCount,
   stateLimitBytes,
   atUs: 0,
   role: 'unfounded',
--- a/src/control/machine/replication.ts
+++ b/src/control/machine/replication.ts
@@ -83,7 +83,8 @@
 };
 
 /**
- * Sends a member the entries or the snapshot piece that it lacks, or a heartbeat while an earlier send is in flight.
+ * Sends a member the entries that it lacks, or a heartbeat and a snapshot piece if the log no longer holds them. While
+ * an earlier send is in flight, only the heartbeat is sent.
  */
 export const sendAppend = (replica: Replica, identity: string): ControlStep => {
   const progress = replica.progress.get(identity) ?? newProgress(replica);
--- a/src/control/machine/roles.ts
+++ b/src/control/machine/roles.ts
@@ -17,8 +17,8 @@
   return isVoter(replica, replica.identity) ? 'follower' : 'learner';
 };
 
-const roleEffects = (former: Replica, replica: Replica): readonly ControlEffect[] =>
-  former.role === replica.role && former.leader === replica.leader
+const roleEffects = (previous: Replica, replica: Replica): readonly ControlEffect[] =>
+  previous.role === replica.role && previous.leader === replica.leader
     ? []
     : [{ type: 'role', role: replica.role, term: replica.term, leader: replica.leader }];
 
@@ -28,8 +28,8 @@
  */
 export const changeRole = (replica: Replica, change: Partial<Replica>): ControlStep => {
   const changedReplica = { ...replica, ...change };
-  const stepsDown = replica.role === 'leader' && changedReplica.role !== 'leader';
-  const newReplica: Replica = stepsDown
+  const isSteppingDown = replica.role === 'leader' && changedReplica.role !== 'leader';
+  const newReplica: Replica = isSteppingDown
     ? {
         ...changedReplica,
         pendingRequests: new Map(),
@@ -43,14 +43,14 @@
     : changedReplica;
   return stepOf(
     newReplica,
-    ...(stepsDown
+    ...(isSteppingDown
       ? [...replica.pendingRequests.values()].map((requestId): ControlEffect => ({
           type: 'reply',
           requestId,
           reply: { type: 'undecided' },
         }))
       : []),
-    ...(stepsDown
+    ...(isSteppingDown
       ? replica.reads.map((read): ControlEffect => ({
           type: 'reply',
           requestId: read.requestId,
--- a/src/control/machine/snapshot-transfer.ts
+++ b/src/control/machine/snapshot-transfer.ts
@@ -27,8 +27,8 @@
   if (isCurrentSnapshot && isPaused(progress, replica.atUs)) return stepOf(replica);
   const encodedSnapshot = encodedSnapshotOf(replica);
   const offset = isCurrentSnapshot ? (progress.transfer?.offset ?? 0) : 0;
-  const movedUs = isCurrentSnapshot ? (progress.transfer?.movedUs ?? replica.atUs) : replica.atUs;
-  const transfer: SnapshotTransfer = { index: encodedSnapshot.index, offset, movedUs };
+  const progressUs = isCurrentSnapshot ? (progress.transfer?.movedUs ?? replica.atUs) : replica.atUs;
+  const transfer: SnapshotTransfer = { index: encodedSnapshot.index, offset, movedUs: progressUs };
   const sentProgress = { ...withSend(progress, replica.atUs), transfer };
   return stepOf(
     { ...replica, encodedSnapshot, progress: withEntry(replica.progress, identity, sentProgress) },
@@ -69,14 +69,14 @@
 export const withPieceReply = (replica: Replica, from: string, message: InstallSnapshotReply): Replica => {
   const progress = replica.progress.get(from);
   if (replica.role !== 'leader' || progress === undefined || message.term !== replica.term) return replica;
-  const withReply = withContact(progress, message.round, replica.atUs);
-  const { transfer } = withReply;
+  const afterContact = withContact(progress, message.round, replica.atUs);
+  const { transfer } = afterContact;
   const isCurrentTransfer = transfer?.index === message.snapshotIndex;
   const isWithinSnapshot = message.received < (replica.encodedSnapshot?.text.length ?? 0);
   const updated =
     transfer !== undefined && isCurrentTransfer && isWithinSnapshot
-      ? acknowledged(withReply, transfer, message)
-      : withReply;
+      ? acknowledged(afterContact, transfer, message)
+      : afterContact;
   return { ...replica, progress: withEntry(replica.progress, from, updated) };
 };
 
--- a/src/control/state/configuration-orders.ts
+++ b/src/control/state/configuration-orders.ts
@@ -14,8 +14,8 @@
 const currentRevisionOf = (state: ReplicatedState): number => state.record?.revision ?? 0;
 
 /**
- * The outcome of a proposal by its id, with an operator's document or without; undefined if it is not
- * decided or no longer remembered.
+ * The outcome of a proposal by its id, with an operator's document or without; undefined if it is not decided or no
+ * longer remembered.
  */
 export const findProposalOutcome = (state: ReplicatedState, proposal: string): ProposalOutcome | undefined => {
   const document = findDocumentOfProposal(state.documents, proposal);
--- a/src/control/state/refused-orders.ts
+++ b/src/control/state/refused-orders.ts
@@ -27,10 +27,10 @@
 const keyOf = ({ version, digest, expectedVersion }: DocumentOrder): string =>
   `${expectedVersion}:${version}:${digest}`;
 
-export const isRefused = (orders: RefusedOrders, order: DocumentOrder, clockUs: Micros): boolean => {
-  const refusedAtUs = orders.entries.get(keyOf(order));
+export const isRefused = (refusals: RefusedOrders, proposal: DocumentOrder, clockUs: Micros): boolean => {
+  const refusedAtUs = refusals.entries.get(keyOf(proposal));
   return refusedAtUs !== undefined && clockUs < refusedAtUs + refusalKeepUs;
 };
 
-export const rememberRefusal = (orders: RefusedOrders, order: DocumentOrder, clockUs: Micros): RefusedOrders =>
-  remember(orders, keyOf(order), clockUs, maxRefusedOrders).map;
+export const rememberRefusal = (refusals: RefusedOrders, proposal: DocumentOrder, clockUs: Micros): RefusedOrders =>
+  remember(refusals, keyOf(proposal), clockUs, maxRefusedOrders).map;
--- a/src/control/state/warmup-epochs.ts
+++ b/src/control/state/warmup-epochs.ts
@@ -7,13 +7,15 @@
 const maxBookingUs: Micros = 3_600_000_000;
 
 /** The history of warm-up figures after a new setup. Unchanged figures start no new epoch. */
-export const epochsAfter = (former: SetupRecord | undefined, epoch: WarmupEpoch): readonly WarmupEpoch[] => {
-  const formerEpochs = former?.epochs ?? [];
-  const newestEpoch = formerEpochs[formerEpochs.length - 1];
+export const epochsAfter = (previous: SetupRecord | undefined, epoch: WarmupEpoch): readonly WarmupEpoch[] => {
+  const previousEpochs = previous?.epochs ?? [];
+  const newestEpoch = previousEpochs[previousEpochs.length - 1];
   return newestEpoch !== undefined && JSON.stringify(newestEpoch.warmup) === JSON.stringify(epoch.warmup)
-    ? formerEpochs
+    ? previousEpochs
     : [
-        ...formerEpochs.filter((_, index) => (formerEpochs[index + 1] ?? epoch).sinceUs > epoch.sinceUs - maxBookingUs),
+        ...previousEpochs.filter(
+          (_, index) => (previousEpochs[index + 1] ?? epoch).sinceUs > epoch.sinceUs - maxBookingUs,
+        ),
         epoch,
       ].slice(-maxEpochs);
 };
--- a/tests/control/membership.test.ts
+++ b/tests/control/membership.test.ts
@@ -20,8 +20,12 @@
   command: { type: 'members', members },
 });
 
-const founding = membersAt(1, 0, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', false)]);
-const promotion = membersAt(2, 1, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', true)]);
+const bootstrapEntry = membersAt(1, 0, [
+  member('a', 'a:1', true),
+  member('b', 'b:1', true),
+  member('c1', 'c:1', false),
+]);
+const promotionEntry = membersAt(2, 1, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', true)]);
 
 test('a learner that lacks the entry which promotes it votes for a voter that has it', () => {
   const timing = { term: 1, electionUs: 100_000, leaderContactUs: 0 };
@@ -29,9 +33,9 @@
     ...startReplica('b', 'b:1', seeds),
     ...timing,
     role: 'follower',
-    entries: [founding, promotion],
+    entries: [bootstrapEntry, promotionEntry],
   };
-  let learner: Replica = { ...startReplica('c1', 'c:1', seeds), ...timing, role: 'learner', entries: [founding] };
+  let learner: Replica = { ...startReplica('c1', 'c:1', seeds), ...timing, role: 'learner', entries: [bootstrapEntry] };
   for (let at = 0; at < 10 * second && voter.role !== 'leader'; at += 25_000) {
     const requested = stepControl(voter, { type: 'tick', at, chance: 0.5 });
     voter = requested.replica;
--- a/tests/control/partial-snapshot.test.ts
+++ b/tests/control/partial-snapshot.test.ts
@@ -30,8 +30,8 @@
 
 test('duplicated, delayed and early pieces leave the received text without a gap', () => {
   assert.is(after([piece(0), piece(0), piece(6), piece(3), piece(0), piece(3)])?.text, 'abcdef');
-  const whole = after([piece(0), piece(3), piece(6)]);
-  assert.ok(whole !== undefined && whole.text === text && isWhole(whole));
+  const complete = after([piece(0), piece(3), piece(6)]);
+  assert.ok(complete !== undefined && complete.text === text && isWhole(complete));
 });
 
 test('a piece of another snapshot or another term discards the received text, and is never appended to it', () => {
@@ -71,13 +71,13 @@
 
 test('a complete text that does not match its digest is dropped, and requested again from the start', () => {
   const encoded = encodeSnapshotText({ ...startSnapshot, index: 50, term: 2 });
-  const whole = piece(0, { piece: encoded.text, total: encoded.text.length, digest: 'f'.repeat(64) });
+  const complete = piece(0, { piece: encoded.text, total: encoded.text.length, digest: 'f'.repeat(64) });
   const step = stepControl(startReplica('a', 'a:1', []), {
     type: 'message',
     at: 1,
     chance: 0,
     from: 'b',
-    message: whole,
+    message: complete,
   });
   const reply = step.effects.flatMap((effect) => (effect.type === 'send' ? [effect.message] : []))[0];
   assert.ok(reply?.type === 'installSnapshotReply' && reply.received === 0);
--- a/tests/control/pure-core.ts
+++ b/tests/control/pure-core.ts
@@ -73,7 +73,7 @@
  */
 export const openPureCore = (seed: number, seeds: readonly string[], voters: number, duplicated = 0): PureCore => {
   const chance = randomOf(seed);
-  const machines = new Map<string, PureMachine>();
+  const nodes = new Map<string, PureMachine>();
   const violations: string[] = [];
   const committed = new Map<number, string>();
   let frames: readonly Frame[] = [];
@@ -82,9 +82,9 @@
   let lostShare = 0;
 
   const at = (address: string): PureMachine => {
-    const machine = machines.get(address);
-    if (machine === undefined) throw new Error(`no node at ${address}`);
-    return machine;
+    const node = nodes.get(address);
+    if (node === undefined) throw new Error(`no node at ${address}`);
+    return node;
   };
 
   const textOf = (entry: LogEntry): string => `${entry.term} ${JSON.stringify(entry.command)}`;
@@ -107,46 +107,41 @@
     }
   };
 
-  const addressOf = (machine: PureMachine, identity: string): string | undefined =>
-    membersOf(machine.replica).find((member) => member.identity === identity)?.address ??
-    machine.knownAddresses.get(identity);
-
-  const sendMessage = (
-    machine: PureMachine,
-    toAddress: string,
-    to: string | undefined,
-    message: ControlMessage,
-  ): void => {
-    const frame = { from: machine.replica.identity, fromAddress: machine.address, toAddress, to, message };
+  const addressOf = (node: PureMachine, identity: string): string | undefined =>
+    membersOf(node.replica).find((member) => member.identity === identity)?.address ??
+    node.knownAddresses.get(identity);
+
+  const sendMessage = (node: PureMachine, toAddress: string, to: string | undefined, message: ControlMessage): void => {
+    const frame = { from: node.replica.identity, fromAddress: node.address, toAddress, to, message };
     if (chance() < lostShare) return;
     frames = [...frames, { ...frame, dueUs: nowUs + minDelayUs + Math.floor(chance() * delayRangeUs) }];
     if (chance() < duplicated) frames = [...frames, { ...frame, dueUs: nowUs + Math.floor(chance() * 1_000_000) }];
   };
 
-  const execute = (machine: PureMachine, effect: ControlEffect): void => {
-    if (effect.type === 'sendTo') sendMessage(machine, effect.address, undefined, effect.message);
+  const execute = (node: PureMachine, effect: ControlEffect): void => {
+    if (effect.type === 'sendTo') sendMessage(node, effect.address, undefined, effect.message);
     if (effect.type !== 'send') return;
-    const toAddress = addressOf(machine, effect.to);
-    if (toAddress !== undefined) sendMessage(machine, toAddress, effect.to, effect.message);
+    const toAddress = addressOf(node, effect.to);
+    if (toAddress !== undefined) sendMessage(node, toAddress, effect.to, effect.message);
   };
 
   const event = (address: string, received: ControlEvent): readonly ControlEffect[] => {
-    const machine = at(address);
-    const step = stepControl(machine.replica, received);
-    checkCommits(machine.replica, step.replica);
+    const node = at(address);
+    const step = stepControl(node.replica, received);
+    checkCommits(node.replica, step.replica);
     const persisted = step.effects.flatMap((effect) => (effect.type === 'persist' ? [effect.record] : []));
-    const updatedMachine = { ...machine, replica: step.replica, records: [...machine.records, ...persisted] };
-    machines.set(address, updatedMachine);
-    step.effects.forEach((effect) => execute(updatedMachine, effect));
+    const updatedNode = { ...node, replica: step.replica, records: [...node.records, ...persisted] };
+    nodes.set(address, updatedNode);
+    step.effects.forEach((effect) => execute(updatedNode, effect));
     return step.effects;
   };
 
   const deliverFrame = (frame: Frame): void => {
-    const machine = machines.get(frame.toAddress);
-    if (machine === undefined || !machine.isUp) return;
-    const knownAddresses = new Map([...machine.knownAddresses, [frame.from, frame.fromAddress] as const]);
-    machines.set(frame.toAddress, { ...machine, knownAddresses });
-    if (frame.to !== undefined && frame.to !== machine.replica.identity) return;
+    const node = nodes.get(frame.toAddress);
+    if (node === undefined || !node.isUp) return;
+    const knownAddresses = new Map([...node.knownAddresses, [frame.from, frame.fromAddress] as const]);
+    nodes.set(frame.toAddress, { ...node, knownAddresses });
+    if (frame.to !== undefined && frame.to !== node.replica.identity) return;
     event(frame.toAddress, { type: 'message', at: nowUs, chance: chance(), from: frame.from, message: frame.message });
   };
 
@@ -163,12 +158,11 @@
       deliverFrame(next);
     }
     nowUs = endUs;
-    const upAddresses = [...machines.values()].filter((machine) => machine.isUp).map((machine) => machine.address);
+    const upAddresses = [...nodes.values()].filter((node) => node.isUp).map((node) => node.address);
     for (const address of upAddresses)
       if (at(address).replica.leader === undefined)
         event(address, { type: 'known', at: nowUs, seeds, addresses: upAddresses });
-    for (const [address, machine] of machines)
-      if (machine.isUp) event(address, { type: 'tick', at: nowUs, chance: chance() });
+    for (const [address, node] of nodes) if (node.isUp) event(address, { type: 'tick', at: nowUs, chance: chance() });
   };
 
   const startEmpty = (address: string): void => {
@@ -177,19 +171,19 @@
     const records: readonly DurableRecord[] = [
       { type: 'identity', identity: replica.identity, founds: replica.founds },
     ];
-    machines.set(address, { address, replica, records, isUp: true, knownAddresses: new Map() });
+    nodes.set(address, { address, replica, records, isUp: true, knownAddresses: new Map() });
   };
 
   const restart = (address: string): void => {
-    const machine = at(address);
-    const emptyReplica = startReplica(machine.replica.identity, address, seeds, machine.replica.founds, voters);
-    const replica = recoverReplica(emptyReplica, machine.records);
-    machines.set(address, { ...machine, replica, isUp: true, knownAddresses: new Map() });
+    const node = at(address);
+    const emptyReplica = startReplica(node.replica.identity, address, seeds, node.replica.founds, voters);
+    const replica = recoverReplica(emptyReplica, node.records);
+    nodes.set(address, { ...node, replica, isUp: true, knownAddresses: new Map() });
   };
 
   const leader = (): PureMachine | undefined =>
-    [...machines.values()]
-      .filter((machine) => machine.isUp && machine.replica.role === 'leader')
+    [...nodes.values()]
+      .filter((node) => node.isUp && node.replica.role === 'leader')
       .sort((left, right) => right.replica.term - left.replica.term)[0];
 
   seeds.forEach(startEmpty);
@@ -197,7 +191,7 @@
     chance,
     now: () => nowUs,
     at,
-    addresses: () => [...machines.keys()],
+    addresses: () => [...nodes.keys()],
     leader,
     voterAddresses: () => {
       const leaderNode = leader();
@@ -217,7 +211,7 @@
       return holds();
     },
     event,
-    stop: (address) => void machines.set(address, { ...at(address), isUp: false }),
+    stop: (address) => void nodes.set(address, { ...at(address), isUp: false }),
     restart,
     startEmpty,
     lose: (share) => void (lostShare = share),
@@ -229,19 +223,21 @@
 
 /** Whether a leader has committed an entry of its own term, so that it can serve requests. */
 export const isServed = (core: PureCore): boolean => {
-  const leaderNode = core.leader()?.replica;
-  return leaderNode !== undefined && termAt(leaderNode, leaderNode.commit) === leaderNode.term;
+  const leader = core.leader()?.replica;
+  return leader !== undefined && termAt(leader, leader.commit) === leader.term;
 };
 
 /** Whether the voters are exactly the nodes at the addresses, all caught up, with no uncommitted entry. */
 export const isSettledOn = (core: PureCore, addresses: readonly string[]): boolean => {
-  const leaderNode = core.leader()?.replica;
-  if (leaderNode === undefined || leaderNode.commit !== lastIndexOf(leaderNode)) return false;
+  const leader = core.leader()?.replica;
+  if (leader === undefined || leader.commit !== lastIndexOf(leader)) return false;
   if (core.voterAddresses().join() !== [...addresses].sort().join()) return false;
-  return votersOf(leaderNode).every((voter) => {
-    const machine = core.at(voter.address);
+  return votersOf(leader).every((voter) => {
+    const controlNode = core.at(voter.address);
     return (
-      machine.isUp && machine.replica.identity === voter.identity && lastIndexOf(machine.replica) === leaderNode.commit
+      controlNode.isUp &&
+      controlNode.replica.identity === voter.identity &&
+      lastIndexOf(controlNode.replica) === leader.commit
     );
   });
 };
--- a/tests/control/recovery.test.ts
+++ b/tests/control/recovery.test.ts
@@ -89,7 +89,7 @@
   assert.ok(snapshotBytes < 2 * setupBytes, `${snapshotBytes} bytes for a snapshot, ${setupBytes} for one setup`);
 });
 
-test('a snapshot with 60,000 claims takes less than 12 MB and recovers', () => {
+test('a snapshot with 60,000 claims is smaller than 12 MB and can be recovered', () => {
   const claims = Array.from(
     { length: 60_000 },
     (_, index) =>
--- a/tests/control/repeated-commands.test.ts
+++ b/tests/control/repeated-commands.test.ts
@@ -56,13 +56,13 @@
 });
 
 test('a cancelled proposal stays cancelled if its setup command arrives later, and a later cancel undoes no commit', () => {
-  const propose: Command = { type: 'setup', proposal: 'p', expected: 0, setup: sampleSetup('late'), atUs: 0 };
+  const proposal: Command = { type: 'setup', proposal: 'p', expected: 0, setup: sampleSetup('late'), atUs: 0 };
   const cancel: Command = { type: 'void', proposal: 'p' };
-  const cancelled = applyAll(startReplicatedState, [cancel, propose, cancel, propose]);
+  const cancelled = applyAll(startReplicatedState, [cancel, proposal, cancel, proposal]);
   assert.is(cancelled.record, undefined);
-  const taken = applyAll(startReplicatedState, [propose, cancel, propose, cancel]);
-  assert.is(taken.record?.revision, 1);
-  assert.equal(applyCommand(taken, cancel).outcome, {
+  const committed = applyAll(startReplicatedState, [proposal, cancel, proposal, cancel]);
+  assert.is(committed.record?.revision, 1);
+  assert.equal(applyCommand(committed, cancel).outcome, {
     type: 'proposal',
     outcome: { type: 'committed', revision: 1 },
   });
--- a/tests/control/state-digest.test.ts
+++ b/tests/control/state-digest.test.ts
@@ -12,16 +12,16 @@
 
 const claim: Command = { type: 'claim', key: 'k', exchange: 'e', atUs: 1 };
 const release: Command = { type: 'release', key: 'k', exchange: 'e', atUs: 2 };
-const propose: Command = { type: 'setup', proposal: 'p', expected: 0, setup: sampleSetup('s'), atUs: 3 };
+const proposal: Command = { type: 'setup', proposal: 'p', expected: 0, setup: sampleSetup('s'), atUs: 3 };
 
 test('a state and its copy decoded from a snapshot have the same digest, also after a released claim', () => {
-  const state = after([claim, release, propose]);
+  const state = after([claim, release, proposal]);
   const restored = decodeSnapshot(encodeSnapshot({ index: 3, term: 1, members: [], state })).state;
   assert.is(stateDigestOf(restored), stateDigestOf(state));
 });
 
 test('states that differ in a claim or a setup have different digests', () => {
-  const digests = [after([]), after([claim]), after([propose]), after([claim, propose])].map(stateDigestOf);
+  const digests = [after([]), after([claim]), after([proposal]), after([claim, proposal])].map(stateDigestOf);
   assert.is(new Set(digests).size, digests.length);
 });
 
--- a/tests/control/transfer.test.ts
+++ b/tests/control/transfer.test.ts
@@ -8,7 +8,7 @@
 
 const identities = ['a', 'b', 'c'];
 
-const founding: LogEntry = {
+const bootstrapEntry: LogEntry = {
   index: 1,
   term: 4,
   command: {
@@ -24,7 +24,7 @@
   role: 'leader',
   leader: 'a',
   term: 4,
-  entries: [founding, claimEntry],
+  entries: [bootstrapEntry, claimEntry],
   commit: 1,
 };
 const leader: Replica = {
