--- a/tests/control/membership.test.ts
+++ b/tests/control/membership.test.ts
@@ -43,15 +43,15 @@
     const sentToLearner = requested.effects.flatMap((effect) =>
       effect.type === 'send' && effect.to === 'c1' ? [effect.message] : [],
     );
-    const waiting = [...sentToLearner];
-    for (let message = waiting.shift(); message !== undefined; message = waiting.shift()) {
+    const pendingMessages = [...sentToLearner];
+    for (let message = pendingMessages.shift(); message !== undefined; message = pendingMessages.shift()) {
       const learnerStep = stepControl(learner, { type: 'message', at, chance: 0.5, from: 'b', message });
       learner = learnerStep.replica;
       for (const effect of learnerStep.effects) {
         if (effect.type !== 'send' || effect.to !== 'b') continue;
         const voterStep = stepControl(voter, { type: 'message', at, chance: 0.5, from: 'c1', message: effect.message });
         voter = voterStep.replica;
-        waiting.push(
+        pendingMessages.push(
           ...voterStep.effects.flatMap((next) => (next.type === 'send' && next.to === 'c1' ? [next.message] : [])),
         );
       }
@@ -107,7 +107,7 @@
     const voters = votersOf(leader.replica);
     for (const address of seeds)
       core.deliver('c1', address, { type: 'join', identity: earlierIdentity, address: replaced });
-    for (let beat = 0; beat < 40; beat += 1) {
+    for (let repetition = 0; repetition < 40; repetition += 1) {
       core.playFor(second / 10);
       assert.equal(votersOf(core.leader()?.replica ?? leader.replica), voters, `seed ${seed}`);
     }
--- a/tests/control/replacement.test.ts
+++ b/tests/control/replacement.test.ts
@@ -75,23 +75,23 @@
   const core = openSettledCore(seed, seeds, seed % 2 === 0 ? 0.1 : 0);
   let addresses = seeds;
   for (let round = 0; round < 4; round += 1) {
-    const lostMachines: string[] = [];
+    const lostAddresses: string[] = [];
     for (let count = 0; count < lossesAtOnce; count += 1) {
-      const upAddresses = addresses.filter((address) => !lostMachines.includes(address));
+      const upAddresses = addresses.filter((address) => !lostAddresses.includes(address));
       const lost = pick(core, upAddresses, core.chance() < 0.5);
       if (core.chance() < 0.3) core.event(lost, { type: 'resign', at: core.now(), chance: core.chance() });
       if (core.chance() < 0.5) core.playFor(tickUs);
       core.stop(lost);
-      lostMachines.push(lost);
+      lostAddresses.push(lost);
       playWithCommands(core, Math.floor(core.chance() * 20));
     }
     assert.ok(
       core.playUntil(() => isServed(core), serveWithinUs),
       describeFailure(core, seed, `round ${round}: no leader that commits`),
     );
-    for (const lost of lostMachines) {
+    for (const lost of lostAddresses) {
       const loss = losses[Math.floor(core.chance() * losses.length)] ?? 'wiped';
-      const successor = startSuccessor(core, lost, loss, seed * 100 + round * 10 + lostMachines.indexOf(lost));
+      const successor = startSuccessor(core, lost, loss, seed * 100 + round * 10 + lostAddresses.indexOf(lost));
       addresses = addresses.map((address) => (address === lost ? successor : address));
       playWithCommands(core, Math.floor(core.chance() * 10));
     }
