--- a/src/experiment/emulated-routers.ts
+++ b/src/experiment/emulated-routers.ts
@@ -12,8 +12,8 @@
 import type { SetupRecord } from '../setup/document/setup-record.js';
 import type { Clock } from '../common/clock/clock.js';
 import type { World } from '../sim/world/world.js';
-import { startSpreadView, type SpreadView } from '../spread/machine/spread-view.js';
-import type { Partner } from '../spread/partner/partner.js';
+import { initialGossipView, type GossipView } from '../spread/machine/gossip-view.js';
+import type { Peer } from '../spread/peer/peer.js';
 import type { EmulatedServer } from './emulated-server.js';
 
 /** A router's decision, tries and connections, without its callers' sockets and its membership. */
@@ -44,7 +44,7 @@
   },
 });
 
-const partnerOf = (place: number, locality: string): Partner => ({
+const partnerOf = (place: number, locality: string): Peer => ({
   node: `r${place}`,
   role: 'router',
   address: `r${place}:1`,
@@ -60,8 +60,8 @@
   const emitters = new Map(partners.map(({ address }) => [address, new EventEmitter<SpreadTaskEvents>()]));
   const localities = new Map(partners.map(({ address, locality }) => [address, locality]));
 
-  const viewOf = (self: Partner): SpreadView => {
-    const start = startSpreadView(self, []);
+  const viewOf = (self: Peer): GossipView => {
+    const start = initialGossipView(self, []);
     const others = partners.filter((partner) => partner !== self);
     const known = start.partners.withMutations((map) => {
       for (const partner of others)
@@ -70,7 +70,7 @@
     return { ...start, partners: known, routers: partners.length };
   };
 
-  const spreadOf = (self: Partner): SpreadTask => {
+  const spreadOf = (self: Peer): SpreadTask => {
     const view = viewOf(self);
     return {
       events: emitters.get(self.address) ?? new EventEmitter<SpreadTaskEvents>(),
--- a/src/process/source-task.ts
+++ b/src/process/source-task.ts
@@ -6,7 +6,7 @@
 import type { ListReading } from '../servers/source/list-reading.js';
 import type { SourceEvent } from '../servers/source/source-event.js';
 import { startSourceView, stepSource } from '../servers/source/source-machine.js';
-import type { PartnerRole } from '../spread/partner/partner-role.js';
+import type { PeerRole } from '../spread/peer/peer-role.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
 import type { SpreadTask } from './spread-task.js';
@@ -23,7 +23,7 @@
 
 /** Without a source in the surroundings the list is told, and the task does nothing. */
 export const openSourceTask = (
-  role: PartnerRole,
+  role: PeerRole,
   node: string,
   spread: Pick<SpreadTask, 'events' | 'offerReading'>,
   log: Log,
--- a/src/process/spread-task.ts
+++ b/src/process/spread-task.ts
@@ -6,13 +6,13 @@
 import type { ListReading } from '../servers/source/list-reading.js';
 import type { SetupRecord } from '../setup/document/setup-record.js';
 import type { Frame } from '../spread/frame/frame.js';
-import type { DropCause } from '../spread/link/life-fence.js';
+import type { DropCause } from '../spread/link/instance-fence.js';
 import type { LinkOptions } from '../spread/link/link-options.js';
-import type { SpreadEffect } from '../spread/machine/spread-effect.js';
-import type { SpreadEvent } from '../spread/machine/spread-event.js';
-import { startSpreadView, type SpreadView } from '../spread/machine/spread-view.js';
-import { stepSpread } from '../spread/machine/step.js';
-import type { Partner } from '../spread/partner/partner.js';
+import type { GossipEffect } from '../spread/machine/gossip-effect.js';
+import type { GossipEvent } from '../spread/machine/gossip-event.js';
+import { initialGossipView, type GossipView } from '../spread/machine/gossip-view.js';
+import { stepGossip } from '../spread/machine/step.js';
+import type { Peer } from '../spread/peer/peer.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
 import type { SpreadTaskEvents } from './spread-task-events.js';
@@ -21,7 +21,7 @@
 /** The task that owns the partner links and what is spread over them. */
 export type SpreadTask = {
   readonly events: EventEmitter<SpreadTaskEvents>;
-  readonly view: () => SpreadView;
+  readonly view: () => GossipView;
   /** The platform's time as far as it is certain; 0 while none is known. */
   readonly platformUs: () => Micros;
   readonly start: () => Promise<void>;
@@ -49,7 +49,7 @@
 };
 
 export const openSpreadTask = (
-  self: Partner,
+  self: Peer,
   seeds: readonly string[],
   log: Log,
   counters: Counters,
@@ -58,7 +58,7 @@
 ): SpreadTask => {
   const links = openPartnerLinks(self.address, options);
   const events = new EventEmitter<SpreadTaskEvents>();
-  let view = startSpreadView(self, seeds);
+  let view = initialGossipView(self, seeds);
   let endTicks = (): void => undefined;
   let partnersToldUs = Number.NEGATIVE_INFINITY;
   const foreignAddresses = new Set<string>();
@@ -76,7 +76,7 @@
     log.change('partners known', { count: size });
   };
 
-  const carryOut = (effect: SpreadEffect): void => {
+  const carryOut = (effect: GossipEffect): void => {
     switch (effect.type) {
       case 'send':
         links.send(effect.address, effect.frame);
@@ -118,8 +118,8 @@
     log.change('another fleet was heard', { address: from });
   };
 
-  const take = (event: SpreadEvent): void => {
-    const step = stepSpread(view, event);
+  const take = (event: GossipEvent): void => {
+    const step = stepGossip(view, event);
     view = step.view;
     step.effects.forEach(carryOut);
   };
--- a/src/process/surroundings/surroundings.ts
+++ b/src/process/surroundings/surroundings.ts
@@ -7,7 +7,7 @@
 import type { Dial } from '../../servers/link/dial.js';
 import type { ListSource } from '../../servers/source/list-source.js';
 import type { LinkOptions } from '../../spread/link/link-options.js';
-import type { PartnerLinks } from '../../spread/link/partner-links.js';
+import type { PeerLinks } from '../../spread/link/peer-links.js';
 
 /**
  * All that the tasks of a process have of the world. A real process gives them sockets, the steady clock and files; the
@@ -18,7 +18,7 @@
   readonly chance: Chance;
   /** A name that nothing else ever had. */
   readonly freshName: () => string;
-  readonly openPartnerLinks: (address: string, options?: LinkOptions) => PartnerLinks;
+  readonly openPartnerLinks: (address: string, options?: LinkOptions) => PeerLinks;
   readonly dial: Dial;
   /** Whether servers are known by the fleet's own exchanges alone, where probes are dear. */
   readonly probesNothing?: boolean;
--- a/src/servers/source/read-mark.ts
+++ b/src/servers/source/read-mark.ts
@@ -1,5 +1,5 @@
 import type { Micros } from '../../common/micros.js';
-import type { PartnerRole } from '../../spread/partner/partner-role.js';
+import type { PeerRole } from '../../spread/peer/peer-role.js';
 
 /** When a whole reading began, on the fleet's time line, and the reader's key. */
 export type ReadMark = {
@@ -8,7 +8,7 @@
 };
 
 /** A reader's key; the lesser key precedes: core machines before routers, then by name. */
-export const readerKeyOf = ({ role, node }: { readonly role: PartnerRole; readonly node: string }): string =>
+export const readerKeyOf = ({ role, node }: { readonly role: PeerRole; readonly node: string }): string =>
   `${role}/${node}`;
 
 /** The fresher of two marks. */
--- a/src/servers/source/source-machine.ts
+++ b/src/servers/source/source-machine.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { longestStepUs } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
-import type { PartnerRole } from '../../spread/partner/partner-role.js';
+import type { PeerRole } from '../../spread/peer/peer-role.js';
 import { readerKeyOf } from './read-mark.js';
 import type { SourceEvent } from './source-event.js';
 import type { SourceView } from './source-view.js';
@@ -27,13 +27,13 @@
 const partOf = (node: string): number => createHash('sha256').update(node).digest().readUInt16BE(0) / 65_536;
 
 /** Core machines take over first, then routers, each at a moment of its own. */
-export const rankUsOf = (role: PartnerRole, node: string): Micros =>
+export const rankUsOf = (role: PeerRole, node: string): Micros =>
   role === 'control'
     ? Math.floor(partOf(node) * controlRankUs)
     : controlRankUs + Math.floor(partOf(node) * routerRankUs);
 
 export const startSourceView = (
-  role: PartnerRole,
+  role: PeerRole,
   node: string,
   atUs: Micros,
   spanUs: Micros = askedSpanUs,
--- a/src/sim/core/sim-control.ts
+++ b/src/sim/core/sim-control.ts
@@ -4,7 +4,7 @@
 import { startReplica, type Replica } from '../../control/machine/replica.js';
 import { openControlNode, type ControlNode } from '../../process/control/control-node.js';
 import type { Log } from '../../process/log.js';
-import type { PartnerLinks } from '../../spread/link/partner-links.js';
+import type { PeerLinks } from '../../spread/link/peer-links.js';
 import { openMemoryFiles } from '../disk/memory-files.js';
 import { drawnWriteFates } from '../disk/write-fate.js';
 import type { SimLife } from '../process/sim-life.js';
@@ -154,7 +154,7 @@
       const life = node.begin();
       presentLife = life;
       const surroundings = simSurroundingsOf(commons, name, address, life, files.files);
-      const openPartnerLinks = (linkAddress: string): PartnerLinks => {
+      const openPartnerLinks = (linkAddress: string): PeerLinks => {
         const links = surroundings.openPartnerLinks(linkAddress);
         return {
           ...links,
--- a/src/sim/process/sim-partner-links.ts
+++ b/src/sim/process/sim-partner-links.ts
@@ -1,8 +1,8 @@
 import { EventEmitter } from 'node:events';
-import { openLifeFence, type FrameEnvelope } from '../../spread/link/life-fence.js';
+import { openInstanceFence, type FrameEnvelope } from '../../spread/link/instance-fence.js';
 import type { LinkEvents } from '../../spread/link/link-events.js';
 import type { LinkIdentity } from '../../spread/link/link-identity.js';
-import type { PartnerLinks } from '../../spread/link/partner-links.js';
+import type { PeerLinks } from '../../spread/link/peer-links.js';
 import type { Network } from '../world/network.js';
 import type { SimLife } from './sim-life.js';
 import type { SimPorts } from './sim-ports.js';
@@ -19,9 +19,9 @@
   life: SimLife,
   network: Network,
   ports: SimPorts,
-): PartnerLinks => {
+): PeerLinks => {
   const events = new EventEmitter<LinkEvents>();
-  const fence = openLifeFence(self);
+  const fence = openInstanceFence(self);
   const connections = new Map<string, SimConnection>();
   let isClosed = false;
 
--- a/src/sim/process/sim-ports.ts
+++ b/src/sim/process/sim-ports.ts
@@ -1,5 +1,5 @@
 import type { Frame } from '../../spread/frame/frame.js';
-import type { FrameEnvelope } from '../../spread/link/life-fence.js';
+import type { FrameEnvelope } from '../../spread/link/instance-fence.js';
 
 /** Hears a frame; one that a test puts in by hand has no envelope and passes no fence. */
 export type SimPort = (from: string, frame: Frame, envelope?: FrameEnvelope) => void;
--- a/src/spread/frame/digest-guard.ts
+++ b/src/spread/frame/digest-guard.ts
@@ -3,7 +3,7 @@
 type Fields = ReadonlyMap<string, unknown>;
 type Check = (value: unknown) => boolean;
 
-const isWhole: Check = (value) => typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
+const isNonNegativeInteger: Check = (value) => typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
 const isName: Check = (value) => typeof value === 'string' && value !== '';
 const isFlag: Check = (value) => typeof value === 'boolean';
 const isOneOf =
@@ -32,32 +32,39 @@
   };
 };
 
-const isPartner = hasAll({
+const isPeer = hasAll({
   node: isName,
   role: isOneOf('router', 'control'),
   address: isName,
   http: isName,
   locality: isName,
 });
-const isNews = hasAll({ partner: isPartner, incarnation: isWhole, state: isOneOf('alive', 'suspect', 'dead') });
+const isUpdate = hasAll({
+  partner: isPeer,
+  incarnation: isNonNegativeInteger,
+  state: isOneOf('alive', 'suspect', 'dead'),
+});
 
 const hasDigestForm = hasAll({
   type: isOneOf('digest'),
-  partner: orNone(isPartner),
-  incarnation: isWhole,
-  revision: isWhole,
-  version: isWhole,
+  partner: orNone(isPeer),
+  incarnation: isNonNegativeInteger,
+  revision: isNonNegativeInteger,
+  version: isNonNegativeInteger,
   listDigest: orNone((value) => typeof value === 'string'),
-  read: orNone(hasAll({ atUs: isWhole, by: isName })),
+  read: orNone(hasAll({ atUs: isNonNegativeInteger, by: isName })),
   platformUs: orNone((value) => Number.isInteger(value)),
-  partners: isListOf(isNews),
-  crowd: isWhole,
+  partners: isListOf(isUpdate),
+  crowd: isNonNegativeInteger,
   whole: orNone(isFlag),
   asks: orNone(isOneOf('digest', 'whole')),
-  crowds: orNone(isListOf(isWhole)),
+  crowds: orNone(isListOf(isNonNegativeInteger)),
   unknown: orNone(isFlag),
   inquiry: orNone((value) => Number.isInteger(value)),
 });
 
-/** The form of a digest, looked at by hand: it is the most frequent frame by far, and may hold a whole membership. */
+/**
+ * Validates a digest without a schema library: digests are by far the most frequent frames and may list the whole
+ * membership.
+ */
 export const isDigest = (value: unknown): value is Extract<Frame, { readonly type: 'digest' }> => hasDigestForm(value);
--- a/src/spread/frame/frame-guard.ts
+++ b/src/spread/frame/frame-guard.ts
@@ -10,7 +10,7 @@
 import { isDigest } from './digest-guard.js';
 import type { Frame, CoreRequest } from './frame.js';
 
-const whole = () => number().required().integer().min(0);
+const nonNegativeInteger = () => number().required().integer().min(0);
 
 const isCoreRequest = unionGuard<CoreRequest>({
   propose: object({ type: typed('propose'), command: mixed(isCommand).required() }),
@@ -29,15 +29,16 @@
   'state-full': object({ type: typed('state-full') }),
 });
 
+/** Validates a decoded document from another process as a frame. */
 export const isFrame = unionGuard<Frame>({
   digest: mixed(isDigest).required(),
   inquire: object({
     type: typed('inquire'),
-    inquiry: whole(),
-    revision: whole(),
-    version: whole(),
+    inquiry: nonNegativeInteger(),
+    revision: nonNegativeInteger(),
+    version: nonNegativeInteger(),
     listDigest: string(),
-    base: object({ revision: whole(), digest: string().required() }).optional().default(undefined),
+    base: object({ revision: nonNegativeInteger(), digest: string().required() }).optional().default(undefined),
   }),
   setup: object({ type: typed('setup'), record: mixed(isSetupRecord).required() }),
   'setup-delta': object({ type: typed('setup-delta'), delta: mixed(isRecordDelta).required() }),
@@ -48,7 +49,12 @@
     to: string().optional(),
     message: mixed(isPlainMessage).required(),
   }),
-  work: object({ type: typed('work'), server: string().required(), service: string().required(), tokens: whole() }),
+  work: object({
+    type: typed('work'),
+    server: string().required(),
+    service: string().required(),
+    tokens: nonNegativeInteger(),
+  }),
   'server-failure': object({
     type: typed('server-failure'),
     server: string().required(),
@@ -59,9 +65,9 @@
   'server-load': object({
     type: typed('server-load'),
     server: string().required(),
-    running: whole(),
-    waiting: whole(),
-    slots: whole(),
+    running: nonNegativeInteger(),
+    waiting: nonNegativeInteger(),
+    slots: nonNegativeInteger(),
   }),
   'quota-request': mixed(isQuotaRequestFrame).required(),
   'quota-reply': mixed(isQuotaReplyFrame).required(),
--- a/src/spread/link/frame-document.ts
+++ b/src/spread/link/frame-document.ts
@@ -4,23 +4,20 @@
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 import type { Frame } from '../frame/frame.js';
 
-/**
- * The documents in which frames travel. A whole configuration stands in them as bytes that are worked out once, and a
- * delta is written out once for all its receivers; every other frame is its own document.
- */
 type Fields = Readonly<Record<string, unknown>>;
 
-const knownDeltaDocuments = new WeakMap<RecordDelta, Uint8Array>();
+/** A delta goes to many receivers and is serialized once for all of them. */
+const deltaDocuments = new WeakMap<RecordDelta, Uint8Array>();
 
 const deltaDocumentOf = (frame: Extract<Frame, { readonly type: 'setup-delta' }>): Uint8Array => {
-  const known = knownDeltaDocuments.get(frame.delta);
-  if (known !== undefined) return known;
+  const cached = deltaDocuments.get(frame.delta);
+  if (cached !== undefined) return cached;
   const document = serialize(frame);
-  knownDeltaDocuments.set(frame.delta, document);
+  deltaDocuments.set(frame.delta, document);
   return document;
 };
 
-/** Whether the document of a frame holds a whole configuration, which is compressed already. */
+/** Whether the document of a frame contains a whole configuration, which is already compressed. */
 export const hasEncodedRecord = (frame: Frame): boolean => frame.type === 'setup' || isRecordReply(frame);
 
 type RecordReply = Extract<Frame, { readonly type: 'reply' }> & {
@@ -30,7 +27,10 @@
 const isRecordReply = (frame: Frame): frame is RecordReply =>
   frame.type === 'reply' && frame.reply.type === 'record' && frame.reply.record !== undefined;
 
-/** The document of a frame. */
+/**
+ * The BSON document of a frame. A whole configuration is embedded as bytes that are encoded once per record; a delta is
+ * serialized once for all its receivers.
+ */
 export const documentOf = (frame: Frame): Uint8Array => {
   if (frame.type === 'setup') return serialize({ type: 'setup', record: encodedRecordOf(frame.record) });
   if (frame.type === 'setup-delta') return deltaDocumentOf(frame);
@@ -42,18 +42,18 @@
 const fieldsOf = (value: unknown): Fields | undefined =>
   typeof value === 'object' && value !== null ? { ...value } : undefined;
 
-/** The same fields with a record in place of its bytes; bytes that hold none stay, for the guard to refuse. */
-const withRecord = (fields: Fields): Fields => {
+/** Decodes the record of a document. Bytes that do not decode are left as they are, and the frame guard rejects them. */
+const decodeRecordField = (fields: Fields): Fields => {
   const { record } = fields;
   return Buffer.isBuffer(record)
     ? decodeRecord(record).caseOf({ Left: () => fields, Right: (decoded) => ({ ...fields, record: decoded }) })
     : fields;
 };
 
-/** What stands in a document, with records decoded. */
+/** The frame in a document, with its record decoded; not yet validated. */
 export const frameIn = (document: unknown): unknown => {
   const fields = fieldsOf(document);
-  if (fields?.['type'] === 'setup') return withRecord(fields);
+  if (fields?.['type'] === 'setup') return decodeRecordField(fields);
   const reply = fields?.['type'] === 'reply' ? fieldsOf(fields['reply']) : undefined;
-  return reply?.['type'] === 'record' ? { ...fields, reply: withRecord(reply) } : document;
+  return reply?.['type'] === 'record' ? { ...fields, reply: decodeRecordField(reply) } : document;
 };
--- a/src/spread/link/incoming-connection.ts
+++ b/src/spread/link/incoming-connection.ts
@@ -1,49 +1,53 @@
 import type { Socket } from 'node:net';
 import { steadyNow } from '../../common/micros.js';
 import type { Frame } from '../frame/frame.js';
-import type { FrameEnvelope } from './life-fence.js';
+import type { FrameEnvelope } from './instance-fence.js';
 import type { LinkIdentity } from './link-identity.js';
-import { signSpanUs } from './patience.js';
-import { documentAt, greetingOf, livesBytes, readFrame, readIntroduction, sign } from './wire-format.js';
+import { ackIntervalUs } from './ack-timer.js';
+import { documentAt, greetingOf, instancePairBytes, readFrame, readIntroduction, ack } from './wire-format.js';
 
-/** What an accepted connection tells. */
+/** Callbacks of an accepted connection. */
 export type IncomingListener = {
   readonly frame: (envelope: FrameEnvelope, frame: Frame) => void;
+  /** A document is malformed or is not a known frame. */
   readonly badFrame: () => void;
 };
 
-/** Greets whoever connected and reads its introduction and its frames; bytes of no known form end the connection. */
+/**
+ * Serves an accepted connection: writes the greeting, reads the sender's introduction, then its frames. The connection
+ * is closed when a document is malformed or a frame carries another instance ID than the introduction.
+ */
 export const readConnection = (
   socket: Socket,
-  ownLife: string,
+  ownInstanceId: string,
   connection: number,
   listener: IncomingListener,
 ): void => {
   let pending: Buffer = Buffer.alloc(0);
   let sender: LinkIdentity | undefined;
-  let signedUs = steadyNow();
+  let lastAckUs = steadyNow();
 
-  const giveSign = (): void => {
+  const acknowledge = (): void => {
     const nowUs = steadyNow();
-    if (nowUs < signedUs + signSpanUs) return;
-    signedUs = nowUs;
-    socket.write(sign);
+    if (nowUs < lastAckUs + ackIntervalUs) return;
+    lastAckUs = nowUs;
+    socket.write(ack);
   };
 
-  const refuse = (): boolean => {
+  const reject = (): boolean => {
     listener.badFrame();
     socket.destroy();
     return false;
   };
 
-  const takeIntroduction = (): boolean =>
+  const parseIntroduction = (): boolean =>
     documentAt(pending, 0).caseOf({
-      Left: refuse,
+      Left: reject,
       Right: (document) => {
         if (document === undefined) return false;
         pending = pending.subarray(document.length);
         return readIntroduction(document).caseOf({
-          Left: refuse,
+          Left: reject,
           Right: (introduced) => {
             sender = introduced;
             return true;
@@ -52,18 +56,18 @@
       },
     });
 
-  const takeFrame = (introduced: LinkIdentity): boolean =>
-    documentAt(pending, livesBytes).caseOf({
-      Left: refuse,
+  const parseFrame = (introduced: LinkIdentity): boolean =>
+    documentAt(pending, instancePairBytes).caseOf({
+      Left: reject,
       Right: (document) => {
         if (document === undefined) return false;
-        const lives = pending.toString('hex', 0, livesBytes);
-        pending = pending.subarray(livesBytes + document.length);
-        const senderLife = lives.slice(0, lives.length / 2);
-        const receiverLife = lives.slice(lives.length / 2);
-        if (senderLife !== introduced.life) return refuse();
+        const instanceIds = pending.toString('hex', 0, instancePairBytes);
+        pending = pending.subarray(instancePairBytes + document.length);
+        const senderLife = instanceIds.slice(0, instanceIds.length / 2);
+        const receiverLife = instanceIds.slice(instanceIds.length / 2);
+        if (senderLife !== introduced.life) return reject();
         return readFrame(document).caseOf({
-          Left: refuse,
+          Left: reject,
           Right: (frame) => {
             if (frame === undefined) listener.badFrame();
             else listener.frame({ sender: introduced, receiverLife, connection }, frame);
@@ -73,10 +77,10 @@
       },
     });
 
-  socket.write(greetingOf(ownLife));
+  socket.write(greetingOf(ownInstanceId));
   socket.on('data', (chunk: Buffer) => {
-    giveSign();
+    acknowledge();
     pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
-    while (sender === undefined ? takeIntroduction() : takeFrame(sender));
+    while (sender === undefined ? parseIntroduction() : parseFrame(sender));
   });
 };
--- a/src/spread/link/link-identity.ts
+++ b/src/spread/link/link-identity.ts
@@ -1,12 +1,12 @@
-/** Who speaks over the links of one process. */
+/** The identity of a process on its links, sent in the introduction of each connection that it opens. */
 export type LinkIdentity = {
-  /** Where partners reach the process; a later process may have the same address. */
+  /** Where peers reach the process; a restarted process has the same address. */
   readonly address: string;
-  /** Drawn anew at each start, twelve hexadecimal digits: tells the processes apart that had the same address. */
+  /** The instance ID: twelve random hexadecimal digits per start, to distinguish processes at the same address. */
   readonly life: string;
-  /** The name of the fleet; processes of other fleets are not listened to. */
+  /** The name of the fleet; frames of other fleets are dropped. */
   readonly fleet: string;
 };
 
-/** The fleet of a process whose settings name none. */
+/** The fleet name of a process without one in its settings. */
 export const defaultFleet = 'ledgehill';
--- a/src/spread/link/link-options.ts
+++ b/src/spread/link/link-options.ts
@@ -1,7 +1,7 @@
-/** What the links of a process may be told beside its address. */
+/** Optional settings of the links of a process. */
 export type LinkOptions = {
-  /** Where the process listens, if an address translation stands before it. */
+  /** Where the process listens, if that is not the address that peers dial, as behind address translation. */
   readonly listenAddress?: string;
-  /** The name of the fleet that it belongs to. */
+  /** The name of the fleet that the process belongs to. */
   readonly fleet?: string;
 };
--- a/src/spread/link/listen-at.ts
+++ b/src/spread/link/listen-at.ts
@@ -3,7 +3,10 @@
 
 type Listen = (port: number, host: string, done: () => void) => unknown;
 
-/** Lets a server listen at an IP:port address; fails where it can't. A web framework may listen in the server's place. */
+/**
+ * Listens at an `IP:port` address; the promise rejects with the server's error if that fails. `listen` lets a web
+ * framework make the call in the server's place.
+ */
 export const listenAt = (
   server: Server,
   address: string,
--- a/src/spread/link/outgoing-connection.ts
+++ b/src/spread/link/outgoing-connection.ts
@@ -4,108 +4,113 @@
 import type { Frame } from '../frame/frame.js';
 import { addressParts } from './address-parts.js';
 import type { LinkIdentity } from './link-identity.js';
-import { freshPatience, isOverdue, patienceAfterSend } from './patience.js';
-import { frameBytesOf, greetingBytes, introductionOf, lifeInGreeting, livesOf } from './wire-format.js';
+import { idleAckTimer, isAckOverdue, ackTimerAfterSend } from './ack-timer.js';
+import { frameBytesOf, greetingBytes, introductionOf, instanceIdInGreeting, instancePairOf } from './wire-format.js';
 
-/** A connection to one address; it never dials again. */
+/** A connection to one address; it never reconnects. */
 export type OutgoingConnection = {
+  /** Sends a frame, or queues it until the greeting arrives. Frames beyond the limits of the queue are dropped. */
   readonly send: (frame: Frame) => void;
-  /** Ends it in order if nothing was sent over it for long; whether it did. */
-  readonly retireIfIdle: (nowUs: Micros) => boolean;
+  /** Closes the connection gracefully if nothing was sent within the idle time-out; returns whether it did. */
+  readonly closeIfIdle: (nowUs: Micros) => boolean;
   readonly destroy: () => void;
 };
 
 export type OutgoingListener = {
+  /** The receiver's greeting is malformed; the connection is destroyed. */
   readonly badFrame: () => void;
-  /** The connection has ended; `isRetired` where that was in order. */
-  readonly closed: (isRetired: boolean) => void;
+  /** The connection is closed; `isIdleClose` if `closeIfIdle` closed it, and not a failure. */
+  readonly closed: (isIdleClose: boolean) => void;
 };
 
-const mostWaitingBytes = 64 << 20;
-const mostWaitingFrames = 256;
-/** A connection that nothing was sent over for so long is closed; nodes of a large fleet speak to others by turns. */
-const idleUs: Micros = 10_000_000;
-const dialBudgetUs: Micros = 700_000;
-/** How long a receiver may take to greet once its system has taken the connection. */
-const greetingBudgetUs: Micros = 1_500_000;
+const maxQueuedBytes = 64 << 20;
+const maxQueuedFrames = 256;
+/** In a large fleet each node exchanges frames with a changing subset of peers, so unused connections are closed. */
+const idleTimeoutUs: Micros = 10_000_000;
+const dialTimeoutUs: Micros = 700_000;
+/** How long a receiver may take to send its greeting after its kernel has accepted the connection. */
+const greetingTimeoutUs: Micros = 1_500_000;
 
-/** Dials an address. Frames wait until the receiver has named its life, and each one bears the lives of both ends. */
+/**
+ * Dials an address. Frames are queued until the receiver's greeting arrives; each frame is preceded by the instance IDs
+ * of both ends. A connection whose receiver stops acknowledging is destroyed on the next send.
+ */
 export const openConnection = (
   target: string,
   self: LinkIdentity,
   { badFrame, closed }: OutgoingListener,
 ): OutgoingConnection => {
   const socket = createConnection({ ...addressParts(target), noDelay: true });
-  const waiting: Uint8Array[] = [];
-  let waitingBytes = 0;
+  const queue: Uint8Array[] = [];
+  let queuedBytes = 0;
   let greeting: Buffer = Buffer.alloc(0);
-  let lives: Uint8Array | undefined;
-  let patience = freshPatience;
-  let usedUs = steadyNow();
-  let isRetired = false;
+  let instanceIds: Uint8Array | undefined;
+  let ackTimer = idleAckTimer;
+  let lastSendUs = steadyNow();
+  let isIdleClose = false;
   const destroy = (): void => void socket.destroy();
-  let takeBack = steadyClock.after(dialBudgetUs, destroy);
+  let cancelTimeout = steadyClock.after(dialTimeoutUs, destroy);
 
-  const write = (bothLives: Uint8Array, frameBytes: Uint8Array): void => {
-    socket.write(Buffer.concat([bothLives, frameBytes]));
+  const write = (pair: Uint8Array, frameBytes: Uint8Array): void => {
+    socket.write(Buffer.concat([pair, frameBytes]));
   };
 
-  const greeted = (receiverLife: string): void => {
-    takeBack();
-    const bothLives = livesOf(self.life, receiverLife);
-    lives = bothLives;
+  const onGreeting = (receiverInstanceId: string): void => {
+    cancelTimeout();
+    const pair = instancePairOf(self.life, receiverInstanceId);
+    instanceIds = pair;
     socket.write(introductionOf(self));
-    for (const frameBytes of waiting.splice(0)) write(bothLives, frameBytes);
+    for (const frameBytes of queue.splice(0)) write(pair, frameBytes);
   };
 
   const readGreeting = (chunk: Buffer): void => {
     greeting = Buffer.concat([greeting, chunk]);
     if (greeting.length < greetingBytes) return;
-    const receiverLife = lifeInGreeting(greeting);
-    if (receiverLife !== undefined) {
-      greeted(receiverLife);
+    const receiverInstanceId = instanceIdInGreeting(greeting);
+    if (receiverInstanceId !== undefined) {
+      onGreeting(receiverInstanceId);
       return;
     }
     badFrame();
     socket.destroy();
   };
 
-  const wait = (frameBytes: Uint8Array): void => {
-    if (waiting.length >= mostWaitingFrames || waitingBytes + frameBytes.length > mostWaitingBytes) return;
-    waitingBytes += frameBytes.length;
-    waiting.push(frameBytes);
+  const enqueue = (frameBytes: Uint8Array): void => {
+    if (queue.length >= maxQueuedFrames || queuedBytes + frameBytes.length > maxQueuedBytes) return;
+    queuedBytes += frameBytes.length;
+    queue.push(frameBytes);
   };
 
   socket.on('connect', () => {
-    takeBack();
-    takeBack = steadyClock.after(greetingBudgetUs, destroy);
+    cancelTimeout();
+    cancelTimeout = steadyClock.after(greetingTimeoutUs, destroy);
   });
   socket.on('data', (chunk: Buffer) => {
-    patience = freshPatience;
-    if (lives === undefined) readGreeting(chunk);
+    ackTimer = idleAckTimer;
+    if (instanceIds === undefined) readGreeting(chunk);
   });
   socket.on('error', () => socket.destroy());
   socket.on('close', () => {
-    takeBack();
-    closed(isRetired);
+    cancelTimeout();
+    closed(isIdleClose);
   });
 
   return {
     send: (frame) => {
       const nowUs = steadyNow();
-      usedUs = nowUs;
+      lastSendUs = nowUs;
       const frameBytes = frameBytesOf(frame);
-      if (lives === undefined) {
-        wait(frameBytes);
+      if (instanceIds === undefined) {
+        enqueue(frameBytes);
         return;
       }
-      patience = patienceAfterSend(patience, nowUs);
-      if (socket.writableLength > mostWaitingBytes || isOverdue(patience, nowUs)) socket.destroy();
-      else write(lives, frameBytes);
+      ackTimer = ackTimerAfterSend(ackTimer, nowUs);
+      if (socket.writableLength > maxQueuedBytes || isAckOverdue(ackTimer, nowUs)) socket.destroy();
+      else write(instanceIds, frameBytes);
     },
-    retireIfIdle: (nowUs) => {
-      if (lives === undefined || nowUs < usedUs + idleUs) return false;
-      isRetired = true;
+    closeIfIdle: (nowUs) => {
+      if (instanceIds === undefined || nowUs < lastSendUs + idleTimeoutUs) return false;
+      isIdleClose = true;
       socket.end();
       return true;
     },
--- a/src/spread/link/wire-format.ts
+++ b/src/spread/link/wire-format.ts
@@ -11,96 +11,104 @@
 import type { LinkIdentity } from './link-identity.js';
 
 /**
- * What goes over a connection. The receiver writes its greeting on accepting, and one byte now and then as a sign of
- * life. The sender reads the greeting, then writes its introduction once and any number of frames, each behind the
- * lives of its sender and its receiver.
+ * The protocol of a connection. On accepting it the receiver writes its greeting: a mark byte and its instance ID. The
+ * sender reads the greeting, then writes its introduction and any number of frames, each preceded by the instance IDs of
+ * sender and receiver. While frames arrive the receiver writes an acknowledgement byte once per interval.
  */
-const lifeBytes = 6;
-export const livesBytes = 2 * lifeBytes;
-export const greetingBytes = 1 + lifeBytes;
-/** What a BSON document says of its own length. */
+
+const instanceIdBytes = 6;
+/** The size of the two instance IDs that precede each frame. */
+export const instancePairBytes = 2 * instanceIdBytes;
+export const greetingBytes = 1 + instanceIdBytes;
+/** A BSON document begins with its length. */
 const lengthBytes = 4;
-const leastDocumentBytes = 5;
-const mostDocumentBytes = 64 << 20;
+const minDocumentBytes = 5;
+const maxDocumentBytes = 64 << 20;
 const greetingMark = 2;
-const signMark = 1;
+const ackMark = 1;
 
-/** What a receiver writes back now and then, so that its sender knows of a link that leads nowhere. */
-export const sign = Uint8Array.of(signMark);
+/** The acknowledgement of a receiver, by which its sender detects a dead connection. */
+export const ack = Uint8Array.of(ackMark);
 
-const lifeForm = /^[0-9a-f]{12}$/;
+const instanceIdForm = /^[0-9a-f]{12}$/;
 
-export const greetingOf = (life: string): Uint8Array =>
-  Buffer.concat([Uint8Array.of(greetingMark), Buffer.from(life, 'hex')]);
+/** The greeting of a receiver with this instance ID. */
+export const greetingOf = (instanceId: string): Uint8Array =>
+  Buffer.concat([Uint8Array.of(greetingMark), Buffer.from(instanceId, 'hex')]);
 
-/** A life for a process that starts. */
-export const freshLife = (): string => randomBytes(lifeBytes).toString('hex');
+/** A random instance ID for a starting process. */
+export const newInstanceId = (): string => randomBytes(instanceIdBytes).toString('hex');
 
-/** The life that a greeting names; none where the bytes are no greeting. */
-export const lifeInGreeting = (greeting: Buffer): string | undefined =>
+/** The instance ID in a greeting; undefined if the bytes are not a greeting. */
+export const instanceIdInGreeting = (greeting: Buffer): string | undefined =>
   greeting[0] === greetingMark ? greeting.toString('hex', 1, greetingBytes) : undefined;
 
+/** The introduction of a sender with this identity. */
 export const introductionOf = (identity: LinkIdentity): Uint8Array => serialize({ ...identity });
 
 const introductionSchema = object({
   address: string().required(),
-  life: string().required().matches(lifeForm),
+  life: string().required().matches(instanceIdForm),
   fleet: string().required(),
 }).required();
 
-/** One length-delimited document of a buffer: its bytes, none before they are all there. */
+/** The bytes of the document at `start`; undefined while it is incomplete, an error if its length is out of bounds. */
 export const documentAt = (pending: Buffer, start: number): Either<TypedError, Buffer | undefined> => {
   if (pending.length < start + lengthBytes) return Right(undefined);
   const documentBytes = pending.readInt32LE(start);
-  if (documentBytes < leastDocumentBytes || documentBytes > mostDocumentBytes)
-    return Left(typedError('bad-message', `a document cannot have ${documentBytes} bytes`));
+  if (documentBytes < minDocumentBytes || documentBytes > maxDocumentBytes)
+    return Left(typedError('bad-message', `invalid BSON document length: ${documentBytes} bytes`));
   return Right(pending.length < start + documentBytes ? undefined : pending.subarray(start, start + documentBytes));
 };
 
-/** Frames of so many bytes and more travel compressed: log entries and snapshots. */
-const leastCompressedBytes = 8 << 10;
-/** The fastest level; text of configurations still shrinks to a tenth. */
+/** Frames of at least this size are compressed: log entries and snapshots. */
+const minCompressedBytes = 8 << 10;
+/** The fastest level still reduces configuration texts to a tenth. */
 const compression = { level: 1 };
 
-const compressed = (bytes: Uint8Array): Uint8Array =>
-  bytes.length < leastCompressedBytes ? bytes : serialize({ deflated: deflateRawSync(bytes, compression) });
+const compressIfLarge = (bytes: Uint8Array): Uint8Array =>
+  bytes.length < minCompressedBytes ? bytes : serialize({ deflated: deflateRawSync(bytes, compression) });
 
-/** The compressed document in another one; none where it is a plain frame. */
+/** The compressed bytes in a document; undefined if the document is an uncompressed frame. */
 const deflatedIn = (document: unknown): Buffer | undefined =>
   typeof document === 'object' && document !== null && 'deflated' in document && Buffer.isBuffer(document.deflated)
     ? document.deflated
     : undefined;
 
-/** The document in some bytes, compressed or not; one that grows beyond the largest document is an error. */
-const documentIn = (bytes: Uint8Array): unknown => {
+/** Deserializes a document, compressed or not; throws if it inflates beyond the largest document. */
+const parseDocument = (bytes: Uint8Array): unknown => {
   const document: unknown = deserialize(bytes, { promoteBuffers: true });
   const deflated = deflatedIn(document);
   return deflated === undefined
     ? document
-    : deserialize(inflateRawSync(deflated, { maxOutputLength: mostDocumentBytes }), { promoteBuffers: true });
+    : deserialize(inflateRawSync(deflated, { maxOutputLength: maxDocumentBytes }), { promoteBuffers: true });
 };
 
-/** Reads a document; no bytes of a partner end this process, whatever they make a reader throw. */
-const parsed = <T>(bytes: Uint8Array, read: (document: unknown) => T): Either<TypedError, T> =>
-  Either.encase<Error, T>(() => read(documentIn(bytes))).mapLeft((error) => typedError('bad-message', error.message));
+/** Parses a document. An exception becomes an error result, so that malformed bytes of a peer do not end this process. */
+const parseAs = <T>(bytes: Uint8Array, read: (document: unknown) => T): Either<TypedError, T> =>
+  Either.encase<Error, T>(() => read(parseDocument(bytes))).mapLeft((error) =>
+    typedError('bad-message', error.message),
+  );
 
-/** Reads a sender's introduction. */
+/** Parses a sender's introduction. */
 export const readIntroduction = (bytes: Uint8Array): Either<TypedError, LinkIdentity> =>
-  parsed(bytes, (document) => checked(introductionSchema, document)).chain((introduction) =>
-    introduction.mapLeft(() => typedError('bad-message', 'this is no introduction')),
+  parseAs(bytes, (document) => checked(introductionSchema, document)).chain((introduction) =>
+    introduction.mapLeft(() =>
+      typedError('bad-message', 'invalid introduction: address, life or fleet is missing or malformed'),
+    ),
   );
 
-/** Reads a frame; what has the form of none is left out of the answer. */
+/** Parses a frame: an error if the bytes are malformed, undefined if the document is not a known frame. */
 export const readFrame = (bytes: Uint8Array): Either<TypedError, Frame | undefined> =>
-  parsed(bytes, (document) => {
+  parseAs(bytes, (document) => {
     const frame = frameIn(document);
     return isFrame(frame) ? frame : undefined;
   });
 
-/** The bytes of a frame on the wire. */
+/** The bytes of a frame on the wire, compressed if it is large. */
 export const frameBytesOf = (frame: Frame): Uint8Array =>
-  hasEncodedRecord(frame) ? documentOf(frame) : compressed(documentOf(frame));
+  hasEncodedRecord(frame) ? documentOf(frame) : compressIfLarge(documentOf(frame));
 
-/** The lives of both ends, as they stand before each frame. */
-export const livesOf = (senderLife: string, receiverLife: string): Uint8Array =>
-  Buffer.from(`${senderLife}${receiverLife}`, 'hex');
+/** The instance IDs of both ends, which precede each frame. */
+export const instancePairOf = (senderInstanceId: string, receiverInstanceId: string): Uint8Array =>
+  Buffer.from(`${senderInstanceId}${receiverInstanceId}`, 'hex');
--- a/src/spread/machine/announce.ts
+++ b/src/spread/machine/announce.ts
@@ -1,40 +1,42 @@
-import { digestsTo } from './digest.js';
-import type { SpreadEffect } from './spread-effect.js';
-import type { SpreadStep } from './spread-step.js';
-import { andThen, stepped } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
-import { coreTargets, newsTargets } from './targets.js';
+import { sendDigests } from './digest.js';
+import type { GossipEffect } from './gossip-effect.js';
+import type { GossipStep } from './gossip-step.js';
+import { andThen, withEffects } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
+import { controlNodeTargets, pushTargets } from './targets.js';
 
-/** How many hear news at once from who is first to know it, and from each that hears it. */
-const firstTellings = 8;
+/** The fan-out of a push at the node where a change originates, and at each node that receives it. */
+const originFanOut = 8;
+const relayFanOut = 3;
 
-const tellings = 3;
+const fanOutOf = (from: string | undefined): number => (from === undefined ? originFanOut : relayFanOut);
 
-const tellingsOf = (from: string | undefined): number => (from === undefined ? firstTellings : tellings);
+/** The fan-out at a router that has a reading stamp from a control node, which pushes to its share of routers itself. */
+const fanOutAfterControlNode = 1;
 
-/** How many hear from a router what it has from a core machine, which tells its part of the routers itself. */
-const tellingsAfterCore = 1;
-
-const isFromCore = (view: SpreadView, from: string | undefined): boolean =>
+const isFromControlNode = (view: GossipView, from: string | undefined): boolean =>
   from !== undefined && view.partners.get(from)?.partner.role === 'control';
 
-/** Tells some by chance, and where this is a core machine the other ones and its own part of the routers. */
-const toldTo = (view: SpreadView, count: number, from: string | undefined): SpreadStep => {
-  const { targets, view: drawnView } = newsTargets(view, count, from);
-  const coreOnes = coreTargets(drawnView).filter((address) => address !== from);
-  return digestsTo(drawnView, [...new Set([...coreOnes, ...targets])]);
+/** Sends digests to random peers; a control node adds the other control nodes and its own share of the routers. */
+const pushTo = (view: GossipView, count: number, from: string | undefined): GossipStep => {
+  const { targets, view: drawnView } = pushTargets(view, count, from);
+  const controlAddresses = controlNodeTargets(drawnView).filter((address) => address !== from);
+  return sendDigests(drawnView, [...new Set([...controlAddresses, ...targets])]);
 };
 
-/** Lets others know at once that there is news: all of few, or some, who go on telling it. They ask for its text. */
-export const pushed = (view: SpreadView, from?: string): SpreadStep => toldTo(view, tellingsOf(from), from);
+/**
+ * Pushes a change at once: digests go to all peers of a small fleet, else to some, which relay it. Receivers pull the
+ * content with an inquiry.
+ */
+export const pushDigests = (view: GossipView, from?: string): GossipStep => pushTo(view, fanOutOf(from), from);
 
 /**
- * Hands on that the list was read. It happens twice a second all day, so that a router that has it from a core machine
- * tells only one other; whoever misses it asks when its last reading grows old.
+ * Pushes the stamp of a list reading. Readings happen twice a second all day, so a router that has the stamp from a
+ * control node relays it to one peer only; a node that misses it pulls when its latest stamp becomes stale.
  */
-export const pushedReading = (view: SpreadView, from?: string): SpreadStep =>
-  toldTo(view, isFromCore(view, from) ? tellingsAfterCore : tellingsOf(from), from);
+export const pushReadingStamp = (view: GossipView, from?: string): GossipStep =>
+  pushTo(view, isFromControlNode(view, from) ? fanOutAfterControlNode : fanOutOf(from), from);
 
-/** Makes a change known here and to others. */
-export const told = (view: SpreadView, news: SpreadEffect, from?: string): SpreadStep =>
-  andThen(stepped(view, news), (toldView) => pushed(toldView, from));
+/** Emits the effect of a change on this node and pushes the change to peers. */
+export const announceChange = (view: GossipView, effect: GossipEffect, from?: string): GossipStep =>
+  andThen(withEffects(view, effect), (next) => pushDigests(next, from));
--- a/src/spread/machine/configuration.ts
+++ b/src/spread/machine/configuration.ts
@@ -2,19 +2,19 @@
 import type { RecordBase, RecordDelta } from '../../setup/delta/record-delta.js';
 import { sharedRecord } from '../../setup/delta/shared-record.js';
 import type { SetupRecord } from '../../setup/document/setup-record.js';
-import { told } from './announce.js';
+import { announceChange } from './announce.js';
 import { revisionOf } from './digest.js';
-import type { SpreadFrame } from './spread-event.js';
-import { stepped, type SpreadStep } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
+import type { GossipFrame } from './gossip-event.js';
+import { withEffects, type GossipStep } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
 
-/** So many earlier configurations are kept as bases of deltas, and so much of operators' text in them. */
+/** The number of earlier configurations that are retained as bases of deltas, and the total of their operators' texts. */
 export const maxFormerRecords = 8;
 const maxFormerTextChars = 8_000_000;
 
 const textCharsOf = (record: SetupRecord): number => record.original?.text.length ?? 0;
 
-/** The earlier configurations that are still kept, the last one first. */
+/** The retained earlier configurations, newest first, within the limits on their number and text. */
 const boundedRecords = (records: readonly SetupRecord[]): readonly SetupRecord[] => {
   let chars = 0;
   return records.slice(0, maxFormerRecords).filter((record) => {
@@ -23,24 +23,24 @@
   });
 };
 
-/** Takes a newer configuration into force and announces it; what did not change keeps its identity. */
-export const withRecord = (view: SpreadView, given: SetupRecord, from?: string): SpreadStep => {
-  if (given.revision <= revisionOf(view)) return stepped(view);
+/** Adopts a newer configuration and announces it; unchanged parts keep their object identity. */
+export const adoptRecord = (view: GossipView, given: SetupRecord, from?: string): GossipStep => {
+  if (given.revision <= revisionOf(view)) return withEffects(view);
   const record = sharedRecord(view.record, given);
   const formerRecords = view.record === undefined ? [] : boundedRecords([view.record, ...view.formerRecords]);
-  return told({ ...view, record, formerRecords }, { type: 'setup', record }, from);
+  return announceChange({ ...view, record, formerRecords }, { type: 'setup', record }, from);
 };
 
-/** The configurations that are known here, the newest first. */
-const knownRecords = (view: SpreadView): readonly SetupRecord[] =>
+/** The configuration in force and the retained earlier ones, newest first. */
+const knownRecords = (view: GossipView): readonly SetupRecord[] =>
   view.record === undefined ? [] : [view.record, ...view.formerRecords];
 
-/** What the holder of this view asks a partner to build a delta on. */
-export const heldBaseOf = (view: SpreadView): RecordBase | undefined =>
+/** The base on which a peer can build a delta for this node; undefined without a configuration. */
+export const heldBaseOf = (view: GossipView): RecordBase | undefined =>
   view.record === undefined ? undefined : recordBaseOf(view.record);
 
-/** Asks one partner for its whole configuration. */
-const wholeInquiryOf = (view: SpreadView): SpreadFrame => ({
+/** An inquiry without a base, to which a peer responds with its whole configuration. */
+const wholeInquiryOf = (view: GossipView): GossipFrame => ({
   type: 'inquire',
   inquiry: view.inquiry,
   revision: revisionOf(view),
@@ -48,35 +48,36 @@
 });
 
 /**
- * Takes a delta. It may build on an earlier configuration than the one in force, when two partners answered at once. One
- * that fits nothing known here, or that does not come to the digest of its sender, is replaced by the whole.
+ * Applies a delta. Its base may be an earlier configuration than the one in force, if two peers responded at the same
+ * time. If the base is not retained, or the result does not match the digest in the delta, the whole configuration is
+ * requested from the sender.
  */
-export const withDelta = (view: SpreadView, delta: RecordDelta, from: string): SpreadStep => {
-  if (delta.revision <= revisionOf(view)) return stepped(view);
+export const applyDelta = (view: GossipView, delta: RecordDelta, from: string): GossipStep => {
+  if (delta.revision <= revisionOf(view)) return withEffects(view);
   const base = knownRecords(view).find((record) => isBase(record, delta.base));
   const record = base === undefined ? undefined : withRecordDelta(base, delta);
   return record === undefined
-    ? stepped(view, { type: 'send', address: from, frame: wholeInquiryOf(view) })
-    : withRecord(view, record, from);
+    ? withEffects(view, { type: 'send', address: from, frame: wholeInquiryOf(view) })
+    : adoptRecord(view, record, from);
 };
 
-/** The last delta that was made from each base, since many partners hold the same one. */
-const knownDeltas = new WeakMap<SetupRecord, { readonly target: SetupRecord; readonly delta: RecordDelta }>();
+/** The latest delta computed from each base: many peers hold the same one. */
+const cachedDeltas = new WeakMap<SetupRecord, { readonly target: SetupRecord; readonly delta: RecordDelta }>();
 
 const deltaBetween = (base: SetupRecord, target: SetupRecord): RecordDelta => {
-  const known = knownDeltas.get(base);
-  if (known?.target === target) return known.delta;
+  const cached = cachedDeltas.get(base);
+  if (cached?.target === target) return cached.delta;
   const delta = recordDeltaOf(base, target);
-  knownDeltas.set(base, { target, delta });
+  cachedDeltas.set(base, { target, delta });
   return delta;
 };
 
-/** The frame that brings a partner up to date; none where it lacks nothing. */
+/** The frame that brings a peer at `revision` up to date; undefined if it lacks nothing. */
 export const configurationFrameFor = (
-  view: SpreadView,
+  view: GossipView,
   revision: number,
   base: RecordBase | undefined,
-): SpreadFrame | undefined => {
+): GossipFrame | undefined => {
   const { record } = view;
   if (record === undefined || revision >= record.revision) return undefined;
   const baseRecord = base && view.formerRecords.find((former) => isBase(former, base));
--- a/src/spread/machine/digest.ts
+++ b/src/spread/machine/digest.ts
@@ -2,94 +2,102 @@
 import { isAsked } from '../../servers/list/asked-list.js';
 import type { ReadMark } from '../../servers/source/read-mark.js';
 import { staleReadUs } from '../../servers/source/source-machine.js';
-import { crowdsOf, newsBeside, newsOf } from './membership.js';
-import type { SpreadEffect } from './spread-effect.js';
-import type { SpreadFrame } from './spread-event.js';
-import { stepped, type SpreadStep } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
+import { bucketHashesOf, updatesForDifferingBuckets, updatesAbout } from './membership.js';
+import type { GossipEffect } from './gossip-effect.js';
+import type { GossipFrame } from './gossip-event.js';
+import { withEffects, type GossipStep } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
 
-/** What a digest is to carry beside what is known. */
-export type DigestWish = {
-  /** The whole membership, or what of it differs from these figures. */
+/** Optional content of a digest. */
+export type DigestOptions = {
+  /** Includes the whole membership, or only the buckets whose hashes differ from `crowds` of the receiver. */
   readonly whole?: boolean;
   readonly crowds?: readonly number[];
+  /** The response to request from the receiver. */
   readonly asks?: 'digest' | 'whole';
+  /** The number of the inquiry that the digest responds to. */
   readonly inquiry?: number;
-  /** Whether the receiver is to hear what is said of itself. */
-  readonly disputes?: boolean;
+  /** Includes the update about the receiver itself, so that it can refute a wrong one. */
+  readonly includesReceiver?: boolean;
 };
 
-const mostChanges = 6;
+const maxUpdatesPerDigest = 6;
 
-export const revisionOf = (view: SpreadView): number => view.record?.revision ?? 0;
-export const versionOf = (view: SpreadView): number => view.list?.version ?? 0;
+/** The revision of the configuration in force; 0 without one. */
+export const revisionOf = (view: GossipView): number => view.record?.revision ?? 0;
+/** The version of the server list; 0 without one. */
+export const versionOf = (view: GossipView): number => view.list?.version ?? 0;
 
-export const listDigestOf = (view: SpreadView): string | undefined =>
+/** The digest of the server list; undefined if it has none. */
+export const listDigestOf = (view: GossipView): string | undefined =>
   view.list !== undefined && isAsked(view.list) ? view.list.digest : undefined;
 
-/** A reader tells of its own reading while that is fresh, so that two that read hear of each other. */
-const toldRead = (view: SpreadView): ReadMark | undefined => {
-  if (view.platform === undefined || view.ownRead === undefined) return view.read;
-  return boundAt(view.platform, view.atUs) <= view.ownRead.atUs + staleReadUs ? view.ownRead : view.read;
+/** A poller sends its own stamp while that is recent, so that two concurrent pollers detect each other. */
+const readingStampToSend = (view: GossipView): ReadMark | undefined => {
+  if (view.platform === undefined || view.ownReading === undefined) return view.read;
+  return boundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadUs ? view.ownReading : view.read;
 };
 
-/** The changes that were told least often, and what is then left to tell. */
-const withChanges = (view: SpreadView): { readonly told: readonly string[]; readonly view: SpreadView } => {
-  if (view.changed.size === 0) return { told: [], view };
-  const told = [...view.changed]
+/** Takes the least transmitted updates for one digest and decrements their remaining transmissions. */
+const takeUpdates = (view: GossipView): { readonly addresses: readonly string[]; readonly view: GossipView } => {
+  if (view.pendingUpdates.size === 0) return { addresses: [], view };
+  const addresses = [...view.pendingUpdates]
     .sort(([, left], [, right]) => right - left)
-    .slice(0, mostChanges)
+    .slice(0, maxUpdatesPerDigest)
     .map(([address]) => address);
-  const changed = told.reduce((left, address) => {
-    const count = (left.get(address) ?? 1) - 1;
-    return count > 0 ? left.set(address, count) : left.delete(address);
-  }, view.changed);
-  return { told, view: { ...view, changed } };
+  const pendingUpdates = addresses.reduce((pending, address) => {
+    const count = (pending.get(address) ?? 1) - 1;
+    return count > 0 ? pending.set(address, count) : pending.delete(address);
+  }, view.pendingUpdates);
+  return { addresses, view: { ...view, pendingUpdates } };
 };
 
-/** A digest for one partner. */
-export const digestTo = (view: SpreadView, address: string, wish: DigestWish = {}): SpreadStep => {
-  const changes = withChanges(view);
+/** Sends a digest to one peer. */
+export const sendDigest = (view: GossipView, address: string, options: DigestOptions = {}): GossipStep => {
+  const updates = takeUpdates(view);
   const isIntroduced = view.introduced.has(address);
-  const told = new Set([
-    ...(wish.disputes === true || view.partners.get(address)?.suspectUs !== undefined ? [address] : []),
-    ...changes.told,
+  const updateAddresses = new Set([
+    ...(options.includesReceiver === true || view.partners.get(address)?.suspectUs !== undefined ? [address] : []),
+    ...updates.addresses,
   ]);
-  const frame: SpreadFrame = {
+  const frame: GossipFrame = {
     type: 'digest',
     ...(isIntroduced ? {} : { partner: view.self }),
     incarnation: view.incarnation,
     revision: revisionOf(view),
     version: versionOf(view),
     listDigest: listDigestOf(view),
-    read: toldRead(view),
+    read: readingStampToSend(view),
     platformUs: view.platform === undefined ? undefined : boundAt(view.platform, view.atUs),
     partners:
-      wish.whole === true
-        ? [...newsBeside(view, wish.crowds), ...(wish.disputes === true ? newsOf(view, address) : [])]
-        : [...told].flatMap((known) => newsOf(view, known)),
+      options.whole === true
+        ? [
+            ...updatesForDifferingBuckets(view, options.crowds),
+            ...(options.includesReceiver === true ? updatesAbout(view, address) : []),
+          ]
+        : [...updateAddresses].flatMap((known) => updatesAbout(view, known)),
     crowd: view.crowd,
-    ...(wish.whole === true ? { whole: true } : {}),
-    ...(wish.asks === undefined ? {} : { asks: wish.asks }),
-    ...(wish.asks === 'whole' && view.partners.size > 0 ? { crowds: crowdsOf(view) } : {}),
+    ...(options.whole === true ? { whole: true } : {}),
+    ...(options.asks === undefined ? {} : { asks: options.asks }),
+    ...(options.asks === 'whole' && view.partners.size > 0 ? { crowds: bucketHashesOf(view) } : {}),
     ...(view.partners.has(address) ? {} : { unknown: true }),
-    inquiry: wish.inquiry,
+    inquiry: options.inquiry,
   };
-  return stepped(changes.view, { type: 'send', address, frame });
+  return withEffects(updates.view, { type: 'send', address, frame });
 };
 
-/** A digest for each of some partners. */
-export const digestsTo = (
-  view: SpreadView,
+/** Sends a digest to each of some peers. */
+export const sendDigests = (
+  view: GossipView,
   addresses: readonly string[],
-  wishOf: (address: string) => DigestWish = () => ({}),
-): SpreadStep => {
-  const effects: SpreadEffect[] = [];
-  let toldView = view;
+  optionsOf: (address: string) => DigestOptions = () => ({}),
+): GossipStep => {
+  const effects: GossipEffect[] = [];
+  let next = view;
   for (const address of addresses) {
-    const step = digestTo(toldView, address, wishOf(address));
-    toldView = step.view;
+    const step = sendDigest(next, address, optionsOf(address));
+    next = step.view;
     effects.push(...step.effects);
   }
-  return stepped(toldView, ...effects);
+  return withEffects(next, ...effects);
 };
--- a/src/spread/machine/heartbeat.ts
+++ b/src/spread/machine/heartbeat.ts
@@ -1,125 +1,142 @@
 import { boundAt } from '../../common/clock/time-bound.js';
-import { digestTo, digestsTo } from './digest.js';
-import { someOf } from './draw.js';
-import { newsOf, withNews } from './membership.js';
-import type { SpreadStep } from './spread-step.js';
-import { andThen, stepped } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
-import { addressesOf, hasFew, somePartners } from './targets.js';
+import { sendDigest, sendDigests } from './digest.js';
+import { randomSample } from './random.js';
+import { updatesAbout, applyUpdate } from './membership.js';
+import type { GossipStep } from './gossip-step.js';
+import { andThen, withEffects } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
+import { broadcastAddresses, isSmallFleet, samplePeers } from './targets.js';
 import {
-  beatUsOf,
-  differingSpanUs,
-  digestSpanUs,
-  probeSpanUs,
-  probeTries,
-  uneasyHeardUs,
-  uneasyReadUs,
-  wholeSpanUs,
+  heartbeatIntervalUsOf,
+  divergenceTimeoutUs,
+  heartbeatIntervalUs,
+  probeTimeoutUs,
+  maxProbes,
+  maxContactAgeUs,
+  maxReadingAgeUs,
+  fullSyncIntervalUs,
 } from './timing.js';
 
-const digestsPerRoll = 5;
+/** One in this many heartbeats of a large fleet also goes to an unknown seed or a lost peer. */
+const heartbeatsPerRejoinAttempt = 5;
 
-const digestsPerWhole = 25;
+/** One in this many heartbeats of a small fleet carries the whole membership. */
+const heartbeatsPerFullSync = 25;
 
-const awaiting = (view: SpreadView, addresses: readonly string[]): SpreadView => {
-  const newlyAwaited = addresses.filter((address) => view.partners.has(address) && !view.awaited.has(address));
+/** Starts a probe of each address that is a peer without one. */
+const startProbes = (view: GossipView, addresses: readonly string[]): GossipView => {
+  const unprobed = addresses.filter((address) => view.partners.has(address) && !view.pendingProbes.has(address));
   return {
     ...view,
-    awaited: newlyAwaited.reduce(
-      (awaited, address) => awaited.set(address, { askedUs: view.atUs, tries: 1 }),
-      view.awaited,
+    pendingProbes: unprobed.reduce(
+      (probes, address) => probes.set(address, { askedUs: view.atUs, tries: 1 }),
+      view.pendingProbes,
     ),
   };
 };
 
-/** Asks those again that owe a sign, and brings those under suspicion that went on owing it. */
-export const withProbes = (view: SpreadView): SpreadStep => {
-  const due = [...view.awaited].filter(([, { askedUs }]) => view.atUs >= askedUs + probeSpanUs);
-  return due.reduce<SpreadStep>(
+/** Repeats probes that have timed out. A peer that answers none of them becomes suspect, as in SWIM. */
+export const repeatProbes = (view: GossipView): GossipStep => {
+  const due = [...view.pendingProbes].filter(([, { askedUs }]) => view.atUs >= askedUs + probeTimeoutUs);
+  return due.reduce<GossipStep>(
     (step, [address, { tries }]) =>
-      andThen(step, (dueView) => {
-        if (tries < probeTries)
-          return digestTo(
-            { ...dueView, awaited: dueView.awaited.set(address, { askedUs: dueView.atUs, tries: tries + 1 }) },
+      andThen(step, (current) => {
+        if (tries < maxProbes)
+          return sendDigest(
+            {
+              ...current,
+              pendingProbes: current.pendingProbes.set(address, { askedUs: current.atUs, tries: tries + 1 }),
+            },
             address,
             { asks: 'digest' },
           );
-        const waitedView = { ...dueView, awaited: dueView.awaited.delete(address) };
-        const [news] = newsOf(waitedView, address);
-        return news === undefined || news.state !== 'alive'
-          ? stepped(waitedView)
-          : withNews(waitedView, { ...news, state: 'suspect' });
+        const timedOut = { ...current, pendingProbes: current.pendingProbes.delete(address) };
+        const [update] = updatesAbout(timedOut, address);
+        return update === undefined || update.state !== 'alive'
+          ? withEffects(timedOut)
+          : applyUpdate(timedOut, { ...update, state: 'suspect' });
       }),
-    stepped(view),
+    withEffects(view),
   );
 };
 
-/** Who has not heard of anybody, or of a whole reading, for a while, asks some at once. */
-export const withUnease = (view: SpreadView): SpreadStep => {
-  if (hasFew(view) || view.atUs < view.uneasyUs) return stepped(view);
-  const isReadOld =
+/** Pulls digests from some peers without waiting for a heartbeat if contact or the latest reading stamp is stale. */
+export const pullIfStale = (view: GossipView): GossipStep => {
+  if (isSmallFleet(view) || view.atUs < view.nextStalenessCheckUs) return withEffects(view);
+  const isReadingStale =
     view.read !== undefined &&
     view.platform !== undefined &&
-    boundAt(view.platform, view.atUs) > view.read.atUs + uneasyReadUs;
-  if (!isReadOld && view.atUs <= view.heardUs + uneasyHeardUs) return stepped(view);
-  const { targets, view: drawnView } = somePartners({ ...view, uneasyUs: view.atUs + digestSpanUs }, 2);
-  return digestsTo(drawnView, targets, () => ({ asks: 'digest' }));
+    boundAt(view.platform, view.atUs) > view.read.atUs + maxReadingAgeUs;
+  if (!isReadingStale && view.atUs <= view.lastContactUs + maxContactAgeUs) return withEffects(view);
+  const { targets, view: drawnView } = samplePeers(
+    { ...view, nextStalenessCheckUs: view.atUs + heartbeatIntervalUs },
+    2,
+  );
+  return sendDigests(drawnView, targets, () => ({ asks: 'digest' }));
 };
 
-/** One partner after the other, each once a round, in an order by chance. */
-const nextOfRound = (view: SpreadView): { readonly target: string | undefined; readonly view: SpreadView } => {
-  const living = view.round.filter((address) => view.partners.has(address));
-  if (living.length > 0) return { target: living[0], view: { ...view, round: living.slice(1) } };
-  const shuffled = someOf(view.draw, [...view.partners.keys()], view.partners.size);
-  return { target: shuffled.some[0], view: { ...view, draw: shuffled.draw, round: shuffled.some.slice(1) } };
+/** The next peer in randomized round-robin order, as in SWIM: each peer once per round, in a new random order. */
+const nextInRound = (view: GossipView): { readonly target: string | undefined; readonly view: GossipView } => {
+  const remaining = view.round.filter((address) => view.partners.has(address));
+  if (remaining.length > 0) return { target: remaining[0], view: { ...view, round: remaining.slice(1) } };
+  const shuffled = randomSample(view.randomState, [...view.partners.keys()], view.partners.size);
+  return {
+    target: shuffled.sample[0],
+    view: { ...view, randomState: shuffled.state, round: shuffled.sample.slice(1) },
+  };
 };
 
-const asksWhole = (view: SpreadView): boolean =>
-  view.wholeUs === Number.NEGATIVE_INFINITY ||
-  (view.differsUs !== undefined &&
-    view.atUs > view.differsUs + differingSpanUs &&
-    view.atUs > view.wholeUs + wholeSpanUs);
+/** Whether to request a full synchronization: never had one, or membership has differed from peers' for long. */
+const needsFullSync = (view: GossipView): boolean =>
+  view.lastFullSyncUs === Number.NEGATIVE_INFINITY ||
+  (view.divergedSinceUs !== undefined &&
+    view.atUs > view.divergedSinceUs + divergenceTimeoutUs &&
+    view.atUs > view.lastFullSyncUs + fullSyncIntervalUs);
 
-/** A seed, or one that was given up, by turns: whoever was cut off for long is met again by it. */
-const farOne = (view: SpreadView): { readonly targets: readonly string[]; readonly view: SpreadView } => {
-  if (view.digests % digestsPerRoll !== 0) return { targets: [], view };
+/** A random seed or lost peer on every few heartbeats: both sides of a healed partition find each other by this. */
+const rejoinTargets = (view: GossipView): { readonly targets: readonly string[]; readonly view: GossipView } => {
+  if (view.heartbeatCount % heartbeatsPerRejoinAttempt !== 0) return { targets: [], view };
   const missing = [...new Set([...view.seeds, ...view.lost.keys()])].filter(
     (address) => address !== view.self.address && !view.partners.has(address),
   );
-  const drawn = someOf(view.draw, missing, 1);
-  return { targets: drawn.some, view: { ...view, draw: drawn.draw } };
+  const drawn = randomSample(view.randomState, missing, 1);
+  return { targets: drawn.sample, view: { ...view, randomState: drawn.state } };
 };
 
-/** A beat of a fleet of few goes to all, with all partners now and then. */
-const beatToAll = (view: SpreadView): SpreadStep => {
-  const isFull = view.digests % digestsPerWhole === 0;
-  const addresses = addressesOf(view);
-  const wholeFrom = asksWhole(view) ? addresses[view.digests % addresses.length] : undefined;
-  return digestsTo(awaiting(view, addresses), addresses, (address) =>
-    address === wholeFrom ? { asks: 'whole' } : { whole: isFull },
+/** A heartbeat in a small fleet goes to all addresses, and regularly carries the whole membership. */
+const sendHeartbeatToAll = (view: GossipView): GossipStep => {
+  const includesWhole = view.heartbeatCount % heartbeatsPerFullSync === 0;
+  const addresses = broadcastAddresses(view);
+  const fullSyncFrom = needsFullSync(view) ? addresses[view.heartbeatCount % addresses.length] : undefined;
+  return sendDigests(startProbes(view, addresses), addresses, (address) =>
+    address === fullSyncFrom ? { asks: 'whole' } : { whole: includesWhole },
   );
 };
 
-/** A beat of a larger one goes to the next of the round and to one by chance, and sometimes to one that was given up. */
-const beatToSome = (view: SpreadView): SpreadStep => {
-  const round = nextOfRound(view);
-  const near = somePartners(round.view, 1, round.target);
-  const far = farOne(near.view);
+/** A heartbeat in a large fleet goes to the next peer of the round, a random peer, and at times a seed or lost peer. */
+const sendHeartbeatToSome = (view: GossipView): GossipStep => {
+  const round = nextInRound(view);
+  const random = samplePeers(round.view, 1, round.target);
+  const rejoin = rejoinTargets(random.view);
   const targets = [
-    ...new Set([...(round.target === undefined ? [] : [round.target]), ...near.targets, ...far.targets]),
+    ...new Set([...(round.target === undefined ? [] : [round.target]), ...random.targets, ...rejoin.targets]),
   ];
-  const wholeFrom = asksWhole(far.view) ? targets[0] : undefined;
-  const askingView = wholeFrom === undefined ? far.view : { ...far.view, wholeUs: view.atUs };
-  return digestsTo(awaiting(askingView, targets), targets, (address) => ({
-    asks: address === wholeFrom ? 'whole' : 'digest',
+  const fullSyncFrom = needsFullSync(rejoin.view) ? targets[0] : undefined;
+  const probingView = fullSyncFrom === undefined ? rejoin.view : { ...rejoin.view, lastFullSyncUs: view.atUs };
+  return sendDigests(startProbes(probingView, targets), targets, (address) => ({
+    asks: address === fullSyncFrom ? 'whole' : 'digest',
   }));
 };
 
-export const withBeat = (view: SpreadView): SpreadStep => {
-  if (view.atUs < view.digestUs) return stepped(view);
-  const isFew = hasFew(view);
-  const dueView = { ...view, digestUs: view.atUs + (isFew ? digestSpanUs : beatUsOf(view.partners.size)) };
-  return andThen(isFew ? beatToAll(dueView) : beatToSome(dueView), (toldView) =>
-    stepped({ ...toldView, digests: toldView.digests + 1 }),
+/** Sends the heartbeat, if it is due. */
+export const sendDueHeartbeat = (view: GossipView): GossipStep => {
+  if (view.atUs < view.nextHeartbeatUs) return withEffects(view);
+  const isSmall = isSmallFleet(view);
+  const dueView = {
+    ...view,
+    nextHeartbeatUs: view.atUs + (isSmall ? heartbeatIntervalUs : heartbeatIntervalUsOf(view.partners.size)),
+  };
+  return andThen(isSmall ? sendHeartbeatToAll(dueView) : sendHeartbeatToSome(dueView), (next) =>
+    withEffects({ ...next, heartbeatCount: next.heartbeatCount + 1 }),
   );
 };
--- a/src/spread/machine/inquiry.ts
+++ b/src/spread/machine/inquiry.ts
@@ -2,32 +2,32 @@
 import { configurationFrameFor, heldBaseOf } from './configuration.js';
 import { listDigestOf, revisionOf, versionOf } from './digest.js';
 import { hasListOf, lacksList, listFor } from './list-dissemination.js';
-import { withMembership } from './membership-gossip.js';
-import { withTime } from './platform-time.js';
-import { withRead } from './reading.js';
-import type { SpreadEffect } from './spread-effect.js';
-import type { Digest, SpreadFrame } from './spread-event.js';
-import type { SpreadStep } from './spread-step.js';
-import { andThen, stepped } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
-import { newsTargets } from './targets.js';
-import { askSpanUs } from './timing.js';
+import { applyMembership } from './membership-gossip.js';
+import { raisePlatformTime } from './platform-time.js';
+import { adoptReadingStamp } from './reading.js';
+import type { GossipEffect } from './gossip-effect.js';
+import type { Digest, GossipFrame } from './gossip-event.js';
+import type { GossipStep } from './gossip-step.js';
+import { andThen, withEffects } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
+import { pushTargets } from './targets.js';
+import { inquiryTimeoutUs } from './timing.js';
 
-/** What a partner says that it knows. */
-export type Known = {
+/** The versions of configuration and list that a peer holds, from its digest or inquiry. */
+export type HeldVersions = {
   readonly revision: number;
   readonly version: number;
   readonly listDigest?: string;
-  /** The configuration that it holds, if it can take a delta. */
+  /** The configuration that it holds, as the base of a delta. */
   readonly base?: RecordBase;
 };
 
-/** Gives a partner what it is known to lack. */
-export const caughtUp = (
-  view: SpreadView,
+/** Sends a peer the configuration and the list that it lacks. */
+export const catchUpEffects = (
+  view: GossipView,
   address: string,
-  { revision, version, listDigest, base }: Known,
-): readonly SpreadEffect[] => {
+  { revision, version, listDigest, base }: HeldVersions,
+): readonly GossipEffect[] => {
   const configurationFrame = configurationFrameFor(view, revision, base);
   const list = listFor(view, version, listDigest);
   return [
@@ -36,46 +36,48 @@
   ];
 };
 
-/** How many are asked at once after a freeze. */
-const refreshTargets = 6;
+/** The number of peers that receive an inquiry on a refresh. */
+const refreshFanOut = 6;
 
-/** Takes what a digest tells, and asks its sender for what is newer there. */
-export const onDigest = (view: SpreadView, from: string, digest: Digest): SpreadStep =>
+/** Applies a digest, and sends an inquiry to its sender if that has a newer configuration or list. */
+export const onDigest = (view: GossipView, from: string, digest: Digest): GossipStep =>
   andThen(
     andThen(
-      andThen(withMembership(view, from, digest), (introducedView) => withTime(introducedView, digest.platformUs)),
-      (timedView) => withRead(timedView, digest.read, from),
+      andThen(applyMembership(view, from, digest), (introducedView) =>
+        raisePlatformTime(introducedView, digest.platformUs),
+      ),
+      (timedView) => adoptReadingStamp(timedView, digest.read, from),
     ),
     (timedView) => {
-      const isReceipt = timedView.refreshing && digest.inquiry === timedView.inquiry;
-      const isFresh = isReceipt && digest.revision <= revisionOf(timedView) && hasListOf(timedView, digest);
-      const { asked } = timedView;
-      const isPending = timedView.atUs < asked.atUs + askSpanUs;
-      const hadRevision = isPending ? Math.max(asked.revision, revisionOf(timedView)) : revisionOf(timedView);
-      const hadVersion = isPending ? Math.max(asked.version, versionOf(timedView)) : versionOf(timedView);
+      const isForRefresh = timedView.refreshing && digest.inquiry === timedView.inquiry;
+      const isFresh = isForRefresh && digest.revision <= revisionOf(timedView) && hasListOf(timedView, digest);
+      const { lastInquiry } = timedView;
+      const isPending = timedView.atUs < lastInquiry.atUs + inquiryTimeoutUs;
+      const hadRevision = isPending ? Math.max(lastInquiry.revision, revisionOf(timedView)) : revisionOf(timedView);
+      const hadVersion = isPending ? Math.max(lastInquiry.version, versionOf(timedView)) : versionOf(timedView);
       const lacks = digest.revision > hadRevision || lacksList(timedView, digest, hadVersion, isPending);
-      return stepped(
+      return withEffects(
         {
           ...timedView,
           refreshing: timedView.refreshing && !isFresh,
-          asked: lacks
+          lastInquiry: lacks
             ? {
                 atUs: timedView.atUs,
                 revision: Math.max(digest.revision, hadRevision),
                 version: Math.max(digest.version, hadVersion),
               }
-            : asked,
+            : lastInquiry,
         },
         ...(isFresh ? [{ type: 'refreshed' as const }] : []),
         ...(lacks
-          ? [{ type: 'send' as const, address: from, frame: inquiryOf(timedView, hadRevision, hadVersion) }]
+          ? [{ type: 'send' as const, address: from, frame: inquiryFrameOf(timedView, hadRevision, hadVersion) }]
           : []),
       );
     },
   );
 
-/** Asks for all that is newer than what is had, or is already on its way from another partner. */
-const inquiryOf = (view: SpreadView, revision = revisionOf(view), version = versionOf(view)): SpreadFrame => ({
+/** An inquiry for anything newer than `revision` and `version`, which may already be in flight from another peer. */
+const inquiryFrameOf = (view: GossipView, revision = revisionOf(view), version = versionOf(view)): GossipFrame => ({
   type: 'inquire',
   inquiry: view.inquiry,
   revision,
@@ -84,11 +86,11 @@
   base: heldBaseOf(view),
 });
 
-/** Asks some partners at once for all that is newer, as after a freeze. */
-export const withInquiries = (view: SpreadView): SpreadStep => {
-  const { targets, view: drawnView } = newsTargets(view, refreshTargets);
-  return stepped(
+/** Sends inquiries for anything newer to some peers, as a refresh after a freeze of the process does. */
+export const sendInquiries = (view: GossipView): GossipStep => {
+  const { targets, view: drawnView } = pushTargets(view, refreshFanOut);
+  return withEffects(
     drawnView,
-    ...targets.map((address) => ({ type: 'send' as const, address, frame: inquiryOf(drawnView) })),
+    ...targets.map((address) => ({ type: 'send' as const, address, frame: inquiryFrameOf(drawnView) })),
   );
 };
--- a/src/spread/machine/membership.ts
+++ b/src/spread/machine/membership.ts
@@ -1,117 +1,123 @@
-import type { KnownPartner } from '../partner/known-partner.js';
-import type { PartnerNews } from '../partner/partner-news.js';
-import type { Partner } from '../partner/partner.js';
-import { drawOf } from './draw.js';
-import { stepped, type SpreadStep } from './spread-step.js';
-import type { SpreadEffect } from './spread-effect.js';
-import type { SpreadView } from './spread-view.js';
-import { crowdBuckets, lostSpanUs, suspectSpanUs } from './timing.js';
-
-const mostLost = 512;
-const lookSpanUs = 400_000;
-
-/** How often each that hears of a change hands it on, so that it reaches nearly all; the rest is found by comparison. */
-const tellingsOf = (view: SpreadView): number => Math.ceil(Math.log2(view.partners.size + 2));
-
-const markOf = (address: string, incarnation: number): number => drawOf(`${address}#${incarnation}`);
-
-const markIn = (view: SpreadView, address: string): number => {
-  if (address === view.self.address) return markOf(address, view.incarnation);
+import type { LivePeer } from '../peer/live-peer.js';
+import type { MembershipUpdate } from '../peer/membership-update.js';
+import type { Peer } from '../peer/peer.js';
+import { hashOf } from './random.js';
+import { withEffects, type GossipStep } from './gossip-step.js';
+import type { GossipEffect } from './gossip-effect.js';
+import type { GossipView } from './gossip-view.js';
+import { membershipBuckets, lostPeerRetentionUs, suspicionTimeoutUs } from './timing.js';
+
+const maxLostPeers = 512;
+const expiryCheckIntervalUs = 400_000;
+
+/**
+ * The number of transmissions of an update per node, logarithmic in the fleet's size: enough to reach nearly all nodes.
+ * The comparison of membership hashes repairs the rest.
+ */
+const transmissionsOf = (view: GossipView): number => Math.ceil(Math.log2(view.partners.size + 2));
+
+const memberHash = (address: string, incarnation: number): number => hashOf(`${address}#${incarnation}`);
+
+const memberHashIn = (view: GossipView, address: string): number => {
+  if (address === view.self.address) return memberHash(address, view.incarnation);
   const known = view.partners.get(address);
-  return known === undefined ? 0 : markOf(address, known.incarnation);
+  return known === undefined ? 0 : memberHash(address, known.incarnation);
 };
 
-const isRouterIn = (view: SpreadView, address: string): number =>
+const routerCountAt = (view: GossipView, address: string): number =>
   view.partners.get(address)?.partner.role === 'router' ? 1 : 0;
 
-const isLostRouterIn = (view: SpreadView, address: string): number =>
+const lostRouterCountAt = (view: GossipView, address: string): number =>
   view.lost.get(address)?.partner.role === 'router' ? 1 : 0;
 
-const bucketOf = (address: string): number => drawOf(address) % crowdBuckets;
+const bucketOf = (address: string): number => hashOf(address) % membershipBuckets;
 
-/** One figure for the members of each bucket, so that two can tell where they differ. */
-export const crowdsOf = (view: SpreadView): readonly number[] => {
-  const crowds = Array.from({ length: crowdBuckets }, () => 0);
+/** A hash of the members of each bucket, by which two nodes find the buckets in which they differ. */
+export const bucketHashesOf = (view: GossipView): readonly number[] => {
+  const hashes = Array.from({ length: membershipBuckets }, () => 0);
   for (const address of [view.self.address, ...view.partners.keys()]) {
     const bucket = bucketOf(address);
-    crowds[bucket] = ((crowds[bucket] ?? 0) ^ markIn(view, address)) >>> 0;
+    hashes[bucket] = ((hashes[bucket] ?? 0) ^ memberHashIn(view, address)) >>> 0;
   }
-  return crowds;
+  return hashes;
 };
 
-/** All that is known of the buckets in which another's figures differ. */
-export const newsBeside = (view: SpreadView, crowds: readonly number[] | undefined): readonly PartnerNews[] => {
-  const own = crowds === undefined ? [] : crowdsOf(view);
-  return [...view.partners.keys(), ...(crowds === undefined ? [] : view.lost.keys())]
-    .filter((address) => crowds === undefined || own[bucketOf(address)] !== crowds[bucketOf(address)])
-    .flatMap((address) => newsOf(view, address));
+/** Updates about all peers of the buckets whose hashes differ; without hashes to compare, about all live peers. */
+export const updatesForDifferingBuckets = (
+  view: GossipView,
+  hashes: readonly number[] | undefined,
+): readonly MembershipUpdate[] => {
+  const own = hashes === undefined ? [] : bucketHashesOf(view);
+  return [...view.partners.keys(), ...(hashes === undefined ? [] : view.lost.keys())]
+    .filter((address) => hashes === undefined || own[bucketOf(address)] !== hashes[bucketOf(address)])
+    .flatMap((address) => updatesAbout(view, address));
 };
 
-const toldRouters = ({ routers, lostRouters }: SpreadView): SpreadEffect => ({
+const routersEffect = ({ routers, lostRouters }: GossipView): GossipEffect => ({
   type: 'routers',
   routers,
   lost: lostRouters,
 });
 
-/** Takes a changed entry in, with all that follows from it. */
-const regrouped = (former: SpreadView, view: SpreadView, address: string, isNew: boolean): SpreadStep => {
-  const routers = view.routers + isRouterIn(view, address) - isRouterIn(former, address);
-  const lostRouters = view.lostRouters + isLostRouterIn(view, address) - isLostRouterIn(former, address);
-  const counted: SpreadView = {
+/** Completes a change of one entry: the membership hash, the counts of routers, the pending update and the effects. */
+const completeChange = (former: GossipView, view: GossipView, address: string, isNew: boolean): GossipStep => {
+  const routers = view.routers + routerCountAt(view, address) - routerCountAt(former, address);
+  const lostRouters = view.lostRouters + lostRouterCountAt(view, address) - lostRouterCountAt(former, address);
+  const next: GossipView = {
     ...view,
-    crowd: (view.crowd ^ markIn(former, address) ^ markIn(view, address)) >>> 0,
+    crowd: (view.crowd ^ memberHashIn(former, address) ^ memberHashIn(view, address)) >>> 0,
     routers,
     lostRouters,
-    changed: view.changed.set(address, tellingsOf(view)),
+    pendingUpdates: view.pendingUpdates.set(address, transmissionsOf(view)),
   };
-  return stepped(
-    counted,
+  return withEffects(
+    next,
     ...(isNew ? [{ type: 'partners' as const }] : []),
-    ...(routers + lostRouters === former.routers + former.lostRouters ? [] : [toldRouters(counted)]),
+    ...(routers + lostRouters === former.routers + former.lostRouters ? [] : [routersEffect(next)]),
   );
 };
 
-const isSame = (left: Partner, right: Partner): boolean =>
+const isSameDescription = (left: Peer, right: Peer): boolean =>
   left.node === right.node && left.http === right.http && left.role === right.role && left.locality === right.locality;
 
-const isAlive = (view: SpreadView, { partner, incarnation }: PartnerNews): SpreadStep => {
+const onAlive = (view: GossipView, { partner, incarnation }: MembershipUpdate): GossipStep => {
   const known = view.partners.get(partner.address);
   const lost = view.lost.get(partner.address);
-  if (lost !== undefined && incarnation <= lost.incarnation) return stepped(view);
-  if (known !== undefined && incarnation <= known.incarnation) return stepped(view);
-  const entry: KnownPartner = { partner, incarnation, heardUs: view.atUs, suspectUs: undefined };
-  return regrouped(
+  if (lost !== undefined && incarnation <= lost.incarnation) return withEffects(view);
+  if (known !== undefined && incarnation <= known.incarnation) return withEffects(view);
+  const entry: LivePeer = { partner, incarnation, heardUs: view.atUs, suspectUs: undefined };
+  return completeChange(
     view,
     { ...view, partners: view.partners.set(partner.address, entry), lost: view.lost.delete(partner.address) },
     partner.address,
-    known === undefined || !isSame(known.partner, partner),
+    known === undefined || !isSameDescription(known.partner, partner),
   );
 };
 
-const isSuspect = (view: SpreadView, { partner, incarnation }: PartnerNews): SpreadStep => {
+const onSuspect = (view: GossipView, { partner, incarnation }: MembershipUpdate): GossipStep => {
   const known = view.partners.get(partner.address);
-  if (known === undefined) return isAlive(view, { partner, incarnation, state: 'alive' });
+  if (known === undefined) return onAlive(view, { partner, incarnation, state: 'alive' });
   if (incarnation < known.incarnation || (incarnation === known.incarnation && known.suspectUs !== undefined))
-    return stepped(view);
-  const entry: KnownPartner = { ...known, incarnation, suspectUs: view.atUs };
-  return regrouped(view, { ...view, partners: view.partners.set(partner.address, entry) }, partner.address, false);
+    return withEffects(view);
+  const entry: LivePeer = { ...known, incarnation, suspectUs: view.atUs };
+  return completeChange(view, { ...view, partners: view.partners.set(partner.address, entry) }, partner.address, false);
 };
 
-const isDead = (view: SpreadView, { partner, incarnation }: PartnerNews): SpreadStep => {
+const onDead = (view: GossipView, { partner, incarnation }: MembershipUpdate): GossipStep => {
   const { address } = partner;
   const known = view.partners.get(address);
-  if (known === undefined || incarnation < known.incarnation) return stepped(view);
+  if (known === undefined || incarnation < known.incarnation) return withEffects(view);
   const lost = view.lost.set(address, { partner, incarnation, lostUs: view.atUs });
-  const [eldest] = lost.keys();
+  const [oldest] = lost.keys();
   const introduced = new Set(view.introduced);
   introduced.delete(address);
-  return regrouped(
+  return completeChange(
     view,
     {
       ...view,
       partners: view.partners.delete(address),
-      lost: lost.size > mostLost && eldest !== undefined ? lost.delete(eldest) : lost,
-      awaited: view.awaited.delete(address),
+      lost: lost.size > maxLostPeers && oldest !== undefined ? lost.delete(oldest) : lost,
+      pendingProbes: view.pendingProbes.delete(address),
       introduced,
     },
     address,
@@ -119,33 +125,33 @@
   );
 };
 
-/** What others wrongly say of this process is refuted with a higher incarnation. */
-const ofSelf = (view: SpreadView, { state, incarnation }: PartnerNews): SpreadStep => {
+/** Refutes a wrong update about this process with a higher incarnation, as in SWIM. */
+const onSelf = (view: GossipView, { state, incarnation }: MembershipUpdate): GossipStep => {
   const isRefuted = state === 'alive' ? incarnation > view.incarnation : incarnation >= view.incarnation;
   return isRefuted
-    ? regrouped(view, { ...view, incarnation: incarnation + 1 }, view.self.address, false)
-    : stepped(view);
+    ? completeChange(view, { ...view, incarnation: incarnation + 1 }, view.self.address, false)
+    : withEffects(view);
 };
 
-/** Takes a change of membership, if it is news. */
-export const withNews = (view: SpreadView, news: PartnerNews): SpreadStep => {
-  if (news.partner.address === view.self.address) return ofSelf(view, news);
-  switch (news.state) {
+/** Applies an update unless a known one overrides it: a higher incarnation wins, then dead, suspect, alive, as in SWIM. */
+export const applyUpdate = (view: GossipView, update: MembershipUpdate): GossipStep => {
+  if (update.partner.address === view.self.address) return onSelf(view, update);
+  switch (update.state) {
     case 'alive':
-      return isAlive(view, news);
+      return onAlive(view, update);
     case 'suspect':
-      return isSuspect(view, news);
+      return onSuspect(view, update);
     case 'dead':
-      return isDead(view, news);
+      return onDead(view, update);
   }
 };
 
-/** Takes what a partner says of itself. */
-export const withPartner = (view: SpreadView, partner: Partner, incarnation: number): SpreadStep => {
+/** Applies the description that a peer gives of itself; it may change without a new incarnation. */
+export const applyPeerDescription = (view: GossipView, partner: Peer, incarnation: number): GossipStep => {
   const known = view.partners.get(partner.address);
-  if (known === undefined || incarnation > known.incarnation || isSame(known.partner, partner))
-    return withNews(view, { partner, incarnation, state: 'alive' });
-  return regrouped(
+  if (known === undefined || incarnation > known.incarnation || isSameDescription(known.partner, partner))
+    return applyUpdate(view, { partner, incarnation, state: 'alive' });
+  return completeChange(
     view,
     { ...view, partners: view.partners.set(partner.address, { ...known, partner }) },
     partner.address,
@@ -153,8 +159,8 @@
   );
 };
 
-/** What is known of an address, as it is handed on. */
-export const newsOf = (view: SpreadView, address: string): readonly PartnerNews[] => {
+/** The update about an address as other nodes receive it; empty if the address is unknown. */
+export const updatesAbout = (view: GossipView, address: string): readonly MembershipUpdate[] => {
   if (address === view.self.address) return [{ partner: view.self, incarnation: view.incarnation, state: 'alive' }];
   const known = view.partners.get(address);
   if (known !== undefined)
@@ -169,8 +175,11 @@
   return lost === undefined ? [] : [{ partner: lost.partner, incarnation: lost.incarnation, state: 'dead' }];
 };
 
-/** Whether a partner that speaks of itself has to hear what is said of it. */
-export const isDisputed = (view: SpreadView, address: string, incarnation: number): boolean => {
+/**
+ * Whether the known state of a peer overrides the incarnation that the peer sends: a higher incarnation, a suspicion or
+ * its death. The peer must then be sent that state to refute it.
+ */
+export const isOverridden = (view: GossipView, address: string, incarnation: number): boolean => {
   const known = view.partners.get(address);
   if (known !== undefined)
     return known.incarnation > incarnation || (known.suspectUs !== undefined && known.incarnation >= incarnation);
@@ -178,31 +187,31 @@
   return lost !== undefined && lost.incarnation >= incarnation;
 };
 
-/** Gives up who did not refute a suspicion in time, and forgets who was given up long ago. */
-export const withoutOverdue = (view: SpreadView): SpreadStep => {
-  if (view.atUs < view.lookedUs + lookSpanUs) return stepped(view);
+/** Declares suspects dead that have not refuted the suspicion in time, and removes peers that were lost long ago. */
+export const expirePeers = (view: GossipView): GossipStep => {
+  if (view.atUs < view.lastExpiryCheckUs + expiryCheckIntervalUs) return withEffects(view);
   const overdue = [...view.partners.values()].filter(
-    ({ suspectUs }) => suspectUs !== undefined && view.atUs > suspectUs + suspectSpanUs,
+    ({ suspectUs }) => suspectUs !== undefined && view.atUs > suspectUs + suspicionTimeoutUs,
   );
-  const lost = view.lost.filter(({ lostUs }) => view.atUs <= lostUs + lostSpanUs);
-  const keptView = {
+  const lost = view.lost.filter(({ lostUs }) => view.atUs <= lostUs + lostPeerRetentionUs);
+  const retainedView = {
     ...view,
-    lookedUs: view.atUs,
+    lastExpiryCheckUs: view.atUs,
     lost,
     lostRouters: lost.count(({ partner }) => partner.role === 'router'),
   };
-  const forgotten = keptView.lostRouters === view.lostRouters ? [] : [toldRouters(keptView)];
-  return overdue.reduce<SpreadStep>(
+  const routersEffects = retainedView.lostRouters === view.lostRouters ? [] : [routersEffect(retainedView)];
+  return overdue.reduce<GossipStep>(
     (step, { partner, incarnation }) => {
-      const next = withNews(step.view, { partner, incarnation, state: 'dead' });
+      const next = applyUpdate(step.view, { partner, incarnation, state: 'dead' });
       return { view: next.view, effects: [...step.effects, ...next.effects] };
     },
-    stepped(keptView, ...forgotten),
+    withEffects(retainedView, ...routersEffects),
   );
 };
 
-/** How many routers are thought to live, the own process among them if it is one. */
-export const livingRoutersOf = ({ routers }: SpreadView): number => routers;
+/** The number of live routers, including this process if it is one. */
+export const liveRouterCount = ({ routers }: GossipView): number => routers;
 
-/** How many may share what the fleet allows: who was given up may live on the other side of a cut. */
-export const sharingRoutersOf = ({ routers, lostRouters }: SpreadView): number => routers + lostRouters;
+/** The number of routers that may share the fleet's limits: a lost one may be alive on the other side of a partition. */
+export const liveAndLostRouterCount = ({ routers, lostRouters }: GossipView): number => routers + lostRouters;
--- a/src/spread/machine/platform-time.ts
+++ b/src/spread/machine/platform-time.ts
@@ -1,11 +1,14 @@
 import { raisedBound } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
-import type { SpreadStep } from './spread-step.js';
-import { stepped } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
+import type { GossipStep } from './gossip-step.js';
+import { withEffects } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
 
-export const withTime = (view: SpreadView, platformUs: Micros | undefined): SpreadStep => {
-  if (platformUs === undefined) return stepped(view);
+/** Raises the lower bound of the platform's time; a time below the bound changes nothing. */
+export const raisePlatformTime = (view: GossipView, platformUs: Micros | undefined): GossipStep => {
+  if (platformUs === undefined) return withEffects(view);
   const platform = raisedBound(view.platform, platformUs, view.atUs);
-  return platform === view.platform ? stepped(view) : stepped({ ...view, platform }, { type: 'time', platformUs });
+  return platform === view.platform
+    ? withEffects(view)
+    : withEffects({ ...view, platform }, { type: 'time', platformUs });
 };
--- a/src/spread/machine/step.ts
+++ b/src/spread/machine/step.ts
@@ -1,108 +1,113 @@
 import { longestStepUs, withoutSpan } from '../../common/clock/time-bound.js';
 import { emptyMap } from '../../common/persistent-map.js';
-import { withDelta, withRecord } from './configuration.js';
-import { digestTo } from './digest.js';
-import { withBeat, withProbes, withUnease } from './heartbeat.js';
-import { caughtUp, onDigest, withInquiries } from './inquiry.js';
-import { withList } from './list-dissemination.js';
-import { withoutOverdue } from './membership.js';
-import { withReading } from './reading.js';
-import type { SpreadEffect } from './spread-effect.js';
-import type { SpreadEvent, SpreadFrame } from './spread-event.js';
-import type { SpreadStep } from './spread-step.js';
-import { andThen, stepped } from './spread-step.js';
-import type { SpreadView } from './spread-view.js';
-import { digestSpanUs, isolatedSpanUs } from './timing.js';
+import { applyDelta, adoptRecord } from './configuration.js';
+import { sendDigest } from './digest.js';
+import { sendDueHeartbeat, repeatProbes, pullIfStale } from './heartbeat.js';
+import { catchUpEffects, onDigest, sendInquiries } from './inquiry.js';
+import { adoptList } from './list-dissemination.js';
+import { expirePeers } from './membership.js';
+import { onReading } from './reading.js';
+import type { GossipEffect } from './gossip-effect.js';
+import type { GossipEvent, GossipFrame } from './gossip-event.js';
+import type { GossipStep } from './gossip-step.js';
+import { andThen, withEffects } from './gossip-step.js';
+import type { GossipView } from './gossip-view.js';
+import { heartbeatIntervalUs, isolationTimeoutUs } from './timing.js';
 
-const onFrame = (view: SpreadView, from: string, frame: SpreadFrame): SpreadStep => {
+const onFrame = (view: GossipView, from: string, frame: GossipFrame): GossipStep => {
   switch (frame.type) {
     case 'digest':
       return onDigest(view, from, frame);
     case 'inquire':
-      return andThen(stepped(view, ...caughtUp(view, from, frame)), (givenView) =>
-        digestTo(givenView, from, { inquiry: frame.inquiry }),
+      return andThen(withEffects(view, ...catchUpEffects(view, from, frame)), (next) =>
+        sendDigest(next, from, { inquiry: frame.inquiry }),
       );
     case 'setup':
-      return withRecord(view, frame.record, from);
+      return adoptRecord(view, frame.record, from);
     case 'setup-delta':
-      return withDelta(view, frame.delta, from);
+      return applyDelta(view, frame.delta, from);
     case 'list':
-      return withList(view, frame.list, from);
+      return adoptList(view, frame.list, from);
   }
 };
 
-const onHeard = (view: SpreadView, from: string): SpreadStep => {
+/** Records that a peer is reachable: its probe is answered, and this process is not isolated. */
+const onContact = (view: GossipView, from: string): GossipStep => {
   const known = view.partners.get(from);
-  const heardView: SpreadView = {
+  const contactView: GossipView = {
     ...view,
-    heardUs: view.atUs,
-    awaited: view.awaited.delete(from),
+    lastContactUs: view.atUs,
+    pendingProbes: view.pendingProbes.delete(from),
     partners: known === undefined ? view.partners : view.partners.set(from, { ...known, heardUs: view.atUs }),
   };
   return view.isolated
-    ? stepped({ ...heardView, isolated: false }, { type: 'isolated', isolated: false })
-    : stepped(heardView);
+    ? withEffects({ ...contactView, isolated: false }, { type: 'isolated', isolated: false })
+    : withEffects(contactView);
 };
 
-const onTick = (view: SpreadView): SpreadStep => {
-  const becomesIsolated = !view.isolated && view.atUs > view.heardUs + isolatedSpanUs;
-  const checkedStep = becomesIsolated
-    ? stepped({ ...view, isolated: true }, { type: 'isolated' as const, isolated: true })
-    : stepped(view);
-  const asksAgain = view.refreshing && view.atUs >= view.askedAgainUs;
-  return [withoutOverdue, withProbes, withUnease, withBeat].reduce<SpreadStep>(
+const onTick = (view: GossipView): GossipStep => {
+  const losesContact = !view.isolated && view.atUs > view.lastContactUs + isolationTimeoutUs;
+  const checkedStep = losesContact
+    ? withEffects({ ...view, isolated: true }, { type: 'isolated' as const, isolated: true })
+    : withEffects(view);
+  const isInquiryDue = view.refreshing && view.atUs >= view.nextInquiryUs;
+  return [expirePeers, repeatProbes, pullIfStale, sendDueHeartbeat].reduce<GossipStep>(
     andThen,
-    asksAgain
-      ? andThen(checkedStep, (askingView) => withInquiries({ ...askingView, askedAgainUs: view.atUs + digestSpanUs }))
+    isInquiryDue
+      ? andThen(checkedStep, (next) => sendInquiries({ ...next, nextInquiryUs: view.atUs + heartbeatIntervalUs }))
       : checkedStep,
   );
 };
 
-const onEvent = (nowView: SpreadView, event: SpreadEvent): SpreadStep => {
+const onEvent = (nowView: GossipView, event: GossipEvent): GossipStep => {
   switch (event.type) {
     case 'tick':
       return onTick(nowView);
     case 'frame':
-      return andThen(onHeard(nowView, event.from), (heardView) => onFrame(heardView, event.from, event.frame));
+      return andThen(onContact(nowView, event.from), (contactView) => onFrame(contactView, event.from, event.frame));
     case 'setup':
-      return withRecord(nowView, event.record);
+      return adoptRecord(nowView, event.record);
     case 'list':
-      return withList(nowView, event.list);
+      return adoptList(nowView, event.list);
     case 'seeds':
-      return stepped({ ...nowView, seeds: event.seeds });
+      return withEffects({ ...nowView, seeds: event.seeds });
     case 'reading':
-      return withReading(nowView, event.reading, event.begunAt);
+      return onReading(nowView, event.reading, event.begunAt);
     case 'refresh': {
-      return withInquiries({
+      return sendInquiries({
         ...nowView,
         inquiry: nowView.inquiry + 1,
         refreshing: true,
-        askedAgainUs: nowView.atUs + digestSpanUs,
+        nextInquiryUs: nowView.atUs + heartbeatIntervalUs,
       });
     }
   }
 };
 
-/** Of several changes of membership in one step only the last is told. */
-const lastOfEach = (effects: readonly SpreadEffect[]): readonly SpreadEffect[] => {
+/** Drops all but the last of several membership effects in one step. */
+const withoutSuperseded = (effects: readonly GossipEffect[]): readonly GossipEffect[] => {
   const lastPartners = effects.findLastIndex(({ type }) => type === 'partners');
   const lastRouters = effects.findLastIndex(({ type }) => type === 'routers');
   return effects.filter(
-    ({ type }, place) =>
-      (type !== 'partners' || place === lastPartners) && (type !== 'routers' || place === lastRouters),
+    ({ type }, index) =>
+      (type !== 'partners' || index === lastPartners) && (type !== 'routers' || index === lastRouters),
   );
 };
 
-/** The spread machine: setup by revision and list by version, or by merging, go to everyone, and never backwards. */
-export const stepSpread = (view: SpreadView, event: SpreadEvent): SpreadStep => {
+/**
+ * One step of the gossip state machine, which replicates the configuration and the server list to all nodes and detects
+ * dead peers as in SWIM. The configuration advances by revision; a pushed list advances by version, polled lists are
+ * merged. Neither ever goes back.
+ */
+export const stepGossip = (view: GossipView, event: GossipEvent): GossipStep => {
   const spanUs = event.at - view.atUs;
-  const nowView: SpreadView = {
+  const nowView: GossipView = {
     ...view,
     atUs: Math.max(view.atUs, event.at),
     platform: spanUs >= longestStepUs ? withoutSpan(view.platform, spanUs) : view.platform,
-    /** Who did not run can not tell who owed it a sign. */
-    awaited: spanUs >= longestStepUs ? emptyMap() : view.awaited,
+    /** After a gap in its own execution this process cannot judge which responses are late. */
+    pendingProbes: spanUs >= longestStepUs ? emptyMap() : view.pendingProbes,
   };
   const step = onEvent(nowView, event);
-  return step.effects.length < 2 ? step : { view: step.view, effects: lastOfEach(step.effects) };
+  return step.effects.length < 2 ? step : { view: step.view, effects: withoutSuperseded(step.effects) };
 };
--- a/src/spread/machine/targets.ts
+++ b/src/spread/machine/targets.ts
@@ -1,62 +1,64 @@
-import { drawOf, someOf } from './draw.js';
-import type { SpreadView } from './spread-view.js';
-import { fewAddresses, forgottenSpanUs } from './timing.js';
+import { hashOf, randomSample } from './random.js';
+import type { GossipView } from './gossip-view.js';
+import { maxSmallFleetAddresses, lostPeerContactUs } from './timing.js';
 
-/** Whom a fleet of few tells everything: also seeds, and who was given up a short while ago. */
-export const addressesOf = (view: SpreadView): readonly string[] => {
-  const justLost = [...view.lost].flatMap(([address, { lostUs }]) =>
-    lostUs > view.atUs - forgottenSpanUs ? [address] : [],
+/** The addresses that all digests go to in a small fleet: seeds, peers and recently lost peers. */
+export const broadcastAddresses = (view: GossipView): readonly string[] => {
+  const recentlyLost = [...view.lost].flatMap(([address, { lostUs }]) =>
+    lostUs > view.atUs - lostPeerContactUs ? [address] : [],
   );
-  return [...new Set([...view.seeds, ...view.partners.keys(), ...justLost])].filter(
+  return [...new Set([...view.seeds, ...view.partners.keys(), ...recentlyLost])].filter(
     (address) => address !== view.self.address,
   );
 };
 
-/** Whether digests go to all. */
-export const hasFew = (view: SpreadView): boolean =>
-  view.partners.size <= fewAddresses && addressesOf(view).length <= fewAddresses;
+/** Whether the fleet is small enough that digests go to all addresses. */
+export const isSmallFleet = (view: GossipView): boolean =>
+  view.partners.size <= maxSmallFleetAddresses && broadcastAddresses(view).length <= maxSmallFleetAddresses;
 
-/** Some partners by chance, two thirds of them in the own locality, as bytes between localities cost. */
-export const somePartners = (
-  view: SpreadView,
+/** Random peers that are not suspect, two thirds of them in the own locality: traffic between localities is costly. */
+export const samplePeers = (
+  view: GossipView,
   count: number,
   except?: string,
-): { readonly targets: readonly string[]; readonly view: SpreadView } => {
-  const near: string[] = [];
-  const far: string[] = [];
+): { readonly targets: readonly string[]; readonly view: GossipView } => {
+  const local: string[] = [];
+  const remote: string[] = [];
   for (const [address, { partner, suspectUs }] of view.partners)
     if (address !== except && suspectUs === undefined)
-      (partner.locality === view.self.locality ? near : far).push(address);
-  const farCount = Math.max(Math.ceil(count / 3), count - near.length);
-  const nearDrawn = someOf(view.draw, near, count - Math.min(farCount, far.length));
-  const farDrawn = someOf(nearDrawn.draw, far, farCount);
-  return { targets: [...nearDrawn.some, ...farDrawn.some], view: { ...view, draw: farDrawn.draw } };
+      (partner.locality === view.self.locality ? local : remote).push(address);
+  const remoteCount = Math.max(Math.ceil(count / 3), count - local.length);
+  const localSample = randomSample(view.randomState, local, count - Math.min(remoteCount, remote.length));
+  const remoteSample = randomSample(localSample.state, remote, remoteCount);
+  return {
+    targets: [...localSample.sample, ...remoteSample.sample],
+    view: { ...view, randomState: remoteSample.state },
+  };
 };
 
-/** Who is told news at once: all of few, or some. */
-export const newsTargets = (
-  view: SpreadView,
+/** The targets of a push: all addresses in a small fleet, otherwise random peers. */
+export const pushTargets = (
+  view: GossipView,
   count: number,
   except?: string,
-): { readonly targets: readonly string[]; readonly view: SpreadView } =>
-  hasFew(view)
-    ? { targets: addressesOf(view).filter((address) => address !== except), view }
-    : somePartners(view, count, except);
+): { readonly targets: readonly string[]; readonly view: GossipView } =>
+  isSmallFleet(view)
+    ? { targets: broadcastAddresses(view).filter((address) => address !== except), view }
+    : samplePeers(view, count, except);
 
 /**
- * Whom a core machine of a larger fleet tells news itself: the other core machines, and its own part of the routers,
- * which it shares with the core machines that it knows. Whatever gossip does beside it, a change thus reaches each
- * router in one step from a machine that has processor time to spare, and the cost of it for a router stays the same
- * however many there are.
+ * The additional targets of a push by a control node in a large fleet: the other control nodes, and its own share of the
+ * routers, which are partitioned by hash among the control nodes that it knows. A change thus reaches each router in one
+ * hop from a node with spare processor time, and its cost per router does not grow with the fleet. Gossip runs as well.
  */
-export const coreTargets = (view: SpreadView): readonly string[] => {
-  if (view.self.role !== 'control' || hasFew(view)) return [];
+export const controlNodeTargets = (view: GossipView): readonly string[] => {
+  if (view.self.role !== 'control' || isSmallFleet(view)) return [];
   const partners = [...view.partners.values()].map(({ partner }) => partner);
-  const coreAddresses = partners.flatMap(({ role, address }) => (role === 'control' ? [address] : []));
-  const sharers = [view.self.address, ...coreAddresses].sort();
-  const ownPlace = sharers.indexOf(view.self.address);
+  const controlAddresses = partners.flatMap(({ role, address }) => (role === 'control' ? [address] : []));
+  const controlNodes = [view.self.address, ...controlAddresses].sort();
+  const ownIndex = controlNodes.indexOf(view.self.address);
   const ownRouters = partners.flatMap(({ role, address }) =>
-    role === 'router' && drawOf(address) % sharers.length === ownPlace ? [address] : [],
+    role === 'router' && hashOf(address) % controlNodes.length === ownIndex ? [address] : [],
   );
-  return [...coreAddresses, ...ownRouters];
+  return [...controlAddresses, ...ownRouters];
 };
--- a/src/spread/partner/partner-role.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The two kinds of process. */
-export type PartnerRole = 'router' | 'control';
--- a/tests/router/fleet-news.test.ts
+++ b/tests/router/fleet-news.test.ts
@@ -5,20 +5,20 @@
 import { openFleetNews } from '../../src/process/router/fleet-news.js';
 import type { Frame } from '../../src/spread/frame/frame.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
-import { startSpreadView, type SpreadView } from '../../src/spread/machine/spread-view.js';
-import type { Partner } from '../../src/spread/partner/partner.js';
+import { initialGossipView, type GossipView } from '../../src/spread/machine/gossip-view.js';
+import type { Peer } from '../../src/spread/peer/peer.js';
 
-const self: Partner = { node: 'r0', role: 'router', address: 'r0:1', http: 'r0:2', locality: 'a' };
+const self: Peer = { node: 'r0', role: 'router', address: 'r0:1', http: 'r0:2', locality: 'a' };
 
-const viewWith = (routers: number): SpreadView => {
-  let { partners } = startSpreadView(self, []);
-  const known = (partner: Partner) => ({ partner, incarnation: 1, heardUs: 0, suspectUs: undefined });
+const viewWith = (routers: number): GossipView => {
+  let { partners } = initialGossipView(self, []);
+  const known = (partner: Peer) => ({ partner, incarnation: 1, heardUs: 0, suspectUs: undefined });
   for (let place = 1; place <= routers; place += 1) {
     const address = `r${place}:1`;
     partners = partners.set(address, known({ ...self, node: `r${place}`, address }));
   }
   partners = partners.set('c:1', known({ ...self, node: 'c', role: 'control', address: 'c:1' }));
-  return { ...startSpreadView(self, []), partners };
+  return { ...initialGossipView(self, []), partners };
 };
 
 const opened = (routers = 3) => {
--- a/tests/servers/spread-asked.test.ts
+++ b/tests/servers/spread-asked.test.ts
@@ -2,10 +2,10 @@
 import * as assert from 'uvu/assert';
 import { askedListOf } from '../../src/servers/list/merge-lists.js';
 import type { ServerList } from '../../src/servers/list/server-list.js';
-import type { SpreadEffect } from '../../src/spread/machine/spread-effect.js';
-import type { SpreadEvent } from '../../src/spread/machine/spread-event.js';
-import { startSpreadView, type SpreadView } from '../../src/spread/machine/spread-view.js';
-import { stepSpread } from '../../src/spread/machine/step.js';
+import type { GossipEffect } from '../../src/spread/machine/gossip-effect.js';
+import type { GossipEvent } from '../../src/spread/machine/gossip-event.js';
+import { initialGossipView, type GossipView } from '../../src/spread/machine/gossip-view.js';
+import { stepGossip } from '../../src/spread/machine/step.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
 import { listOf, serverOf } from '../decision/figures.js';
 import { randomLists } from './random-lists.js';
@@ -15,19 +15,19 @@
 /** Some spread machines whose frames arrive at once, in order. */
 const openMachines = (count: number) => {
   const addresses = Array.from({ length: count }, (_, index) => `n${index}:1`);
-  const views = new Map<string, SpreadView>(
+  const views = new Map<string, GossipView>(
     addresses.map((address) => [
       address,
-      startSpreadView({ node: address, role: 'router', address, http: address, locality: 'a' }, addresses),
+      initialGossipView({ node: address, role: 'router', address, http: address, locality: 'a' }, addresses),
     ]),
   );
-  const effects: SpreadEffect[] = [];
+  const effects: GossipEffect[] = [];
   let atUs = 0;
   let isCut = false;
-  const take = (address: string, event: SpreadEvent): void => {
+  const take = (address: string, event: GossipEvent): void => {
     const view = views.get(address);
     if (view === undefined) return;
-    const step = stepSpread(view, event);
+    const step = stepGossip(view, event);
     views.set(address, step.view);
     for (const effect of step.effects) {
       effects.push(effect);
--- a/tests/sim/former-life.test.ts
+++ b/tests/sim/former-life.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Frame } from '../../src/spread/frame/frame.js';
-import type { PartnerLinks } from '../../src/spread/link/partner-links.js';
+import type { PeerLinks } from '../../src/spread/link/peer-links.js';
 import { openSimNode } from '../../src/sim/process/sim-node.js';
 import type { SimPorts } from '../../src/sim/process/sim-ports.js';
 import { simSurroundingsOf } from '../../src/sim/process/sim-surroundings.js';
@@ -18,7 +18,7 @@
   const world = openWorld(1);
   const network = openNetwork(world);
   const ports: SimPorts = new Map();
-  const open = async (address: string, fleet?: string): Promise<PartnerLinks> => {
+  const open = async (address: string, fleet?: string): Promise<PeerLinks> => {
     const life = openSimNode(world).begin();
     const surroundings = simSurroundingsOf(
       { world, network, ports, serverAt: () => undefined, note: () => undefined },
@@ -33,7 +33,7 @@
   return { world, network, open };
 };
 
-const heardBy = (links: PartnerLinks): readonly string[] => {
+const heardBy = (links: PeerLinks): readonly string[] => {
   const words: string[] = [];
   links.events.on('frame', (_from, frame) => words.push(frame.type === 'work' ? `work ${frame.tokens}` : frame.type));
   links.events.on('dropped', (cause) => words.push(cause));
--- a/tests/spread/configuration-delta.test.ts
+++ b/tests/spread/configuration-delta.test.ts
@@ -7,14 +7,14 @@
 import { recordDeltaOf, withRecordDelta } from '../../src/setup/delta/record-delta.js';
 import { recordDigestOf } from '../../src/setup/delta/record-digest.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
-import type { SpreadFrame } from '../../src/spread/machine/spread-event.js';
-import { startSpreadView, type SpreadView } from '../../src/spread/machine/spread-view.js';
-import { stepSpread } from '../../src/spread/machine/step.js';
+import type { GossipFrame } from '../../src/spread/machine/gossip-event.js';
+import { initialGossipView, type GossipView } from '../../src/spread/machine/gossip-view.js';
+import { stepGossip } from '../../src/spread/machine/step.js';
 import { setup, warmup } from '../decision/figures.js';
 
 const routeCount = 400;
 const changeCount = 40;
-/** What one change to one node may cost in bytes, the frame that asks for it included. */
+/** The bytes that one change may cost per node, including the inquiry. */
 const maxBytesPerChange = 2_000;
 
 const ruleOf = (name: string, budgetUs: number): Rule => ({
@@ -29,19 +29,19 @@
   silenceUs: 1_000_000,
 });
 
-/** The operator's text for some rules; its version stands first, as operators write it. */
+/** The operator's text for some rules, with its version first, as in real documents. */
 const textOf = (version: number, rules: readonly Rule[]): string =>
   JSON.stringify({
     ver: version,
     routes: rules.map(({ kind, service, budgetUs }) => ({ name: kind, host: 'a.example', svc: service, ms: budgetUs })),
   });
 
-/** Revision n has one route more than the one before it, and another time for one route. */
+/** Each revision adds one route and changes the budget of another one. */
 const recordAt = (revision: number): SetupRecord => {
   const rules = [
     ...setup.rules,
-    ...Array.from({ length: routeCount + revision }, (_, place) =>
-      ruleOf(`route-${place}`, place === 7 ? 1_000_000 + revision : 1_000_000),
+    ...Array.from({ length: routeCount + revision }, (_, index) =>
+      ruleOf(`route-${index}`, index === 7 ? 1_000_000 + revision : 1_000_000),
     ),
   ];
   return {
@@ -53,22 +53,22 @@
   };
 };
 
-const copyOf = (record: SetupRecord): SetupRecord => structuredClone(record);
+const clone = (record: SetupRecord): SetupRecord => structuredClone(record);
 
-const viewOf = (node: string): SpreadView =>
-  startSpreadView({ node, role: 'router', address: `${node}:1`, http: `${node}:2`, locality: 'a' }, []);
+const viewOf = (node: string): GossipView =>
+  initialGossipView({ node, role: 'router', address: `${node}:1`, http: `${node}:2`, locality: 'a' }, []);
 
-/** The frames of a view's answer to one frame, as they come off the wire. */
-const answersOf = (
-  view: SpreadView,
+/** The frames that a node sends in response to one frame, after serialization and deserialization. */
+const responseTo = (
+  view: GossipView,
   from: string,
-  frame: SpreadFrame,
-): { readonly view: SpreadView; readonly frames: readonly SpreadFrame[] } => {
-  const step = stepSpread(view, { type: 'frame', at: view.atUs + 1, from, frame });
+  frame: GossipFrame,
+): { readonly view: GossipView; readonly frames: readonly GossipFrame[] } => {
+  const step = stepGossip(view, { type: 'frame', at: view.atUs + 1, from, frame });
   const frames = step.effects.flatMap((effect) => {
     if (effect.type !== 'send' || effect.address !== from) return [];
     const received: unknown = deserialize(serialize(effect.frame));
-    if (!isFrame(received)) throw new Error('a frame does not hold');
+    if (!isFrame(received)) throw new Error('a frame of the node does not pass the frame guard');
     return received.type === 'digest' ||
       received.type === 'inquire' ||
       received.type === 'setup' ||
@@ -80,19 +80,19 @@
   return { view: step.view, frames };
 };
 
-type Pull = { readonly sender: SpreadView; readonly receiver: SpreadView; readonly frames: readonly SpreadFrame[] };
+type Pull = { readonly sender: GossipView; readonly receiver: GossipView; readonly frames: readonly GossipFrame[] };
 
-const configurationFramesOf = (frames: readonly SpreadFrame[]): readonly SpreadFrame[] =>
+const configurationFramesOf = (frames: readonly GossipFrame[]): readonly GossipFrame[] =>
   frames.filter(({ type }) => type === 'setup' || type === 'setup-delta');
 
-/** Lets one node pull the configuration of another, until neither says anything of it. */
-const pulled = (givenSender: SpreadView, givenReceiver: SpreadView): Pull => {
-  let sender = givenSender;
-  let receiver = givenReceiver;
-  const passed: SpreadFrame[] = [];
-  const refreshed = stepSpread(receiver, { type: 'refresh', at: receiver.atUs + 1 });
+/** Lets one node pull the configuration of another, until it sends no more inquiries. */
+const pullConfiguration = (initialSender: GossipView, initialReceiver: GossipView): Pull => {
+  let sender = initialSender;
+  let receiver = initialReceiver;
+  const exchanged: GossipFrame[] = [];
+  const refreshed = stepGossip(receiver, { type: 'refresh', at: receiver.atUs + 1 });
   receiver = refreshed.view;
-  let inquiries: readonly SpreadFrame[] = [
+  let inquiries: readonly GossipFrame[] = [
     {
       type: 'inquire',
       inquiry: 1,
@@ -104,57 +104,57 @@
     },
   ];
   for (let round = 0; round < 4 && inquiries.length > 0; round += 1) {
-    const answers = inquiries.map((inquiry) => {
-      passed.push(inquiry);
-      const answer = answersOf(sender, receiver.self.address, inquiry);
-      sender = answer.view;
-      return answer.frames;
+    const responses = inquiries.map((inquiry) => {
+      exchanged.push(inquiry);
+      const response = responseTo(sender, receiver.self.address, inquiry);
+      sender = response.view;
+      return response.frames;
     });
-    inquiries = configurationFramesOf(answers.flat()).flatMap((frame) => {
-      passed.push(frame);
-      const answer = answersOf(receiver, sender.self.address, frame);
-      receiver = answer.view;
-      return answer.frames.filter(({ type }) => type === 'inquire');
+    inquiries = configurationFramesOf(responses.flat()).flatMap((frame) => {
+      exchanged.push(frame);
+      const response = responseTo(receiver, sender.self.address, frame);
+      receiver = response.view;
+      return response.frames.filter(({ type }) => type === 'inquire');
     });
   }
-  return { sender, receiver, frames: passed };
+  return { sender, receiver, frames: exchanged };
 };
 
-const withOffered = (view: SpreadView, record: SetupRecord): SpreadView =>
-  stepSpread(view, { type: 'setup', at: view.atUs + 150_000, record }).view;
+const offer = (view: GossipView, record: SetupRecord): GossipView =>
+  stepGossip(view, { type: 'setup', at: view.atUs + 150_000, record }).view;
 
-const bytesOf = (frames: readonly SpreadFrame[]): number =>
+const bytesOf = (frames: readonly GossipFrame[]): number =>
   frames.reduce((sum, frame) => sum + calculateObjectSize(frame), 0);
 
-test('a change of one route among four hundred costs a node the change, not the whole', () => {
-  let { sender, receiver } = pulled(withOffered(viewOf('core'), recordAt(1)), viewOf('router'));
+test('changing one of four hundred routes sends each node a delta instead of the whole configuration', () => {
+  let { sender, receiver } = pullConfiguration(offer(viewOf('core'), recordAt(1)), viewOf('router'));
   for (let revision = 2; revision <= changeCount; revision += 1) {
-    const pull = pulled(withOffered(sender, copyOf(recordAt(revision))), receiver);
+    const pull = pullConfiguration(offer(sender, clone(recordAt(revision))), receiver);
     ({ sender, receiver } = pull);
     assert.is(receiver.record?.revision, revision);
     assert.ok(bytesOf(pull.frames) <= maxBytesPerChange, `${bytesOf(pull.frames)} bytes for revision ${revision}`);
   }
-  assert.equal(receiver.record?.original, recordAt(changeCount).original, 'the text of the operator is whole');
+  assert.equal(receiver.record?.original, recordAt(changeCount).original, "the operator's text is complete");
   assert.is(
     receiver.record === undefined ? '' : recordDigestOf(receiver.record),
     recordDigestOf(recordAt(changeCount)),
   );
 });
 
-test('a node that slept through some changes is sent only the newest, and through many the whole', () => {
-  const start = pulled(withOffered(viewOf('core'), recordAt(1)), viewOf('router'));
-  const offered = (view: SpreadView, last: number): SpreadView => {
-    let reached = view;
-    for (let revision = 2; revision <= last; revision += 1) reached = withOffered(reached, recordAt(revision));
-    return reached;
+test('a node that missed a few revisions receives one delta to the newest; after many it receives the whole configuration', () => {
+  const start = pullConfiguration(offer(viewOf('core'), recordAt(1)), viewOf('router'));
+  const offerUpTo = (view: GossipView, last: number): GossipView => {
+    let next = view;
+    for (let revision = 2; revision <= last; revision += 1) next = offer(next, recordAt(revision));
+    return next;
   };
-  const few = pulled(offered(start.sender, 6), start.receiver);
+  const few = pullConfiguration(offerUpTo(start.sender, 6), start.receiver);
   assert.equal(
     configurationFramesOf(few.frames).map(({ type }) => type),
     ['setup-delta'],
   );
   assert.is(few.receiver.record?.revision, 6);
-  const many = pulled(offered(start.sender, 30), start.receiver);
+  const many = pullConfiguration(offerUpTo(start.sender, 30), start.receiver);
   assert.equal(
     configurationFramesOf(many.frames).map(({ type }) => type),
     ['setup'],
@@ -162,10 +162,10 @@
   assert.is(many.receiver.record?.revision, 30);
 });
 
-test('a node with another configuration under the same revision is sent the whole', () => {
-  const { sender } = pulled(withOffered(viewOf('core'), recordAt(1)), viewOf('router'));
+test('a node with another configuration under the same revision receives the whole one', () => {
+  const { sender } = pullConfiguration(offer(viewOf('core'), recordAt(1)), viewOf('router'));
   const other = { ...recordAt(1), takenAtUs: 5 };
-  const pull = pulled(withOffered(sender, recordAt(2)), withOffered(viewOf('router'), other));
+  const pull = pullConfiguration(offer(sender, recordAt(2)), offer(viewOf('router'), other));
   assert.equal(
     configurationFramesOf(pull.frames).map(({ type }) => type),
     ['setup'],
@@ -173,35 +173,35 @@
   assert.equal(pull.receiver.record?.original, recordAt(2).original);
 });
 
-test('a delta that does not come to its digest is not taken, and the whole is asked for', () => {
-  const receiver = withOffered(viewOf('router'), recordAt(1));
+test('a delta whose result does not match its digest is rejected, and the whole configuration is requested', () => {
+  const receiver = offer(viewOf('router'), recordAt(1));
   const delta = { ...recordDeltaOf(recordAt(1), recordAt(2)), takenAtUs: 1 };
-  const answer = answersOf(receiver, 'core:1', { type: 'setup-delta', delta });
-  assert.is(answer.view.record?.revision, 1);
-  const inquiries = answer.frames.filter((frame) => frame.type === 'inquire');
+  const response = responseTo(receiver, 'core:1', { type: 'setup-delta', delta });
+  assert.is(response.view.record?.revision, 1);
+  const inquiries = response.frames.filter((frame) => frame.type === 'inquire');
   assert.is(inquiries.length, 1);
   assert.is(inquiries[0]?.type === 'inquire' ? inquiries[0].base : 'none', undefined);
 });
 
-test('a delta on an earlier configuration is taken when another answer came first', () => {
-  const receiver = withOffered(withOffered(viewOf('router'), recordAt(1)), recordAt(2));
-  const answer = answersOf(receiver, 'core:1', {
+test('a delta on an earlier configuration is applied after another response has arrived first', () => {
+  const receiver = offer(offer(viewOf('router'), recordAt(1)), recordAt(2));
+  const response = responseTo(receiver, 'core:1', {
     type: 'setup-delta',
     delta: recordDeltaOf(recordAt(1), recordAt(3)),
   });
-  assert.is(answer.view.record?.revision, 3);
+  assert.is(response.view.record?.revision, 3);
 });
 
-test('routes that a change does not touch stay the very same objects', () => {
+test('routes, services and epochs that a delta does not change keep their object identity', () => {
   const base = recordAt(1);
   const next = withRecordDelta(base, recordDeltaOf(base, recordAt(2)));
-  const kept = next?.setup.rules.filter((rule, place) => rule === base.setup.rules[place]).length;
-  assert.is(kept, base.setup.rules.length - 1);
+  const unchanged = next?.setup.rules.filter((rule, index) => rule === base.setup.rules[index]).length;
+  assert.is(unchanged, base.setup.rules.length - 1);
   assert.is(next?.setup.services, base.setup.services);
   assert.is(next?.epochs, base.epochs);
 });
 
-test('deltas of another form are turned away, and counts beyond the base do no harm', () => {
+test('malformed deltas are rejected, and a range beyond the end of the base gives no record', () => {
   const delta = recordDeltaOf(recordAt(1), recordAt(2));
   assert.ok(isRecordDelta(delta));
   assert.not.ok(isRecordDelta({ ...delta, rules: [{ type: 'keep', from: -1, count: 2 }] }));
--- a/tests/spread/encoded-record.test.ts
+++ b/tests/spread/encoded-record.test.ts
@@ -22,21 +22,21 @@
   return frame?.type === 'reply' && frame.reply.type === 'record' ? frame.reply.record : undefined;
 };
 
-test('a whole configuration comes out of a frame and of a reply as it went in', () => {
+test('a configuration survives the round trip through a setup frame and through a reply', () => {
   assert.equal(recordIn(read(frameBytesOf({ type: 'setup', record }))), record);
   const reply: Frame = { type: 'reply', requestId: 'q', reply: { type: 'record', record } };
   assert.equal(recordIn(read(frameBytesOf(reply))), record);
 });
 
-test('a record is encoded once, and handed on in the bytes in which it came', () => {
+test('a record is encoded once, and a received one is forwarded in its received bytes', () => {
   assert.is(encodedRecordOf(record), encodedRecordOf(record));
   const received = recordIn(read(frameBytesOf({ type: 'setup', record })));
-  if (received === undefined) throw new Error('nothing came');
+  if (received === undefined) throw new Error('the frame contains no record');
   assert.equal(Buffer.from(encodedRecordOf(received)), Buffer.from(encodedRecordOf(record)));
   assert.is(encodedRecordOf(received), encodedRecordOf(received));
 });
 
-test('the same bytes are decoded once, whoever sent them', () => {
+test('equal bytes are decoded once, whatever frame they arrive in', () => {
   const bytes = frameBytesOf({ type: 'setup', record });
   const first = recordIn(read(bytes));
   assert.is.not(first, undefined);
@@ -44,12 +44,12 @@
   assert.is(recordIn(read(frameBytesOf({ type: 'reply', requestId: 'q', reply: { type: 'record', record } }))), first);
 });
 
-test('a reply without a record says that there is none', () => {
+test('a reply without a record survives the round trip', () => {
   const none: Frame = { type: 'reply', requestId: 'q', reply: { type: 'record' } };
   assert.equal(read(frameBytesOf(none)), none);
 });
 
-test('bytes that hold no record make no frame: neither one without a configuration, nor one with another', () => {
+test('a frame whose record does not decode is rejected', () => {
   for (const type of ['setup', 'reply']) {
     const whole = deserialize(
       frameBytesOf(
--- a/tests/spread/restarted-partner.test.ts
+++ b/tests/spread/restarted-partner.test.ts
@@ -5,29 +5,29 @@
 import { within } from '../../src/common/clock/within.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import type { Frame } from '../../src/spread/frame/frame.js';
-import type { PartnerLinks } from '../../src/spread/link/partner-links.js';
+import type { PeerLinks } from '../../src/spread/link/peer-links.js';
 import { openTcpLinks } from '../../src/spread/link/tcp-links.js';
 
-const asks: Frame = { type: 'request', requestId: 'a1', request: { type: 'read' } };
+const request: Frame = { type: 'request', requestId: 'a1', request: { type: 'read' } };
 const reply: Frame = { type: 'reply', requestId: 'a1', reply: { type: 'not-leader', leader: undefined } };
-const longestUs = 5_000_000;
+const timeoutUs = 5_000_000;
 
-/** Ends when a dial to an address has been refused. */
-const refused = (port: number): Promise<void> =>
+/** Resolves when a dial to the port has been refused. */
+const waitForRefusal = (port: number): Promise<void> =>
   new Promise((resolve) => {
     const socket = createConnection({ host: '127.0.0.1', port });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => resolve());
   });
 
-const nextFrame = ({ events }: PartnerLinks): Promise<Frame | undefined> =>
+const nextFrame = ({ events }: PeerLinks): Promise<Frame | undefined> =>
   within(
     steadyClock,
     new Promise<Frame>((resolve) => events.once('frame', (_from, frame) => resolve(frame))),
-    longestUs,
+    timeoutUs,
   );
 
-test('a partner that has just come back hears the reply of its first word', async () => {
+test('a peer that has just restarted receives the reply to its first request without waiting for the redial delay', async () => {
   const [corePort = 0, routerPort = 0] = await freePorts(2);
   const core = openTcpLinks(`127.0.0.1:${corePort}`);
   const router = openTcpLinks(`127.0.0.1:${routerPort}`);
@@ -35,11 +35,11 @@
     await core.listen();
     core.events.on('frame', (from) => core.send(from, reply));
     core.send(`127.0.0.1:${routerPort}`, reply);
-    await refused(routerPort);
+    await waitForRefusal(routerPort);
     await router.listen();
-    const heard = nextFrame(router);
-    router.send(`127.0.0.1:${corePort}`, asks);
-    assert.equal((await heard)?.type, 'reply');
+    const received = nextFrame(router);
+    router.send(`127.0.0.1:${corePort}`, request);
+    assert.equal((await received)?.type, 'reply');
   } finally {
     core.close();
     router.close();
--- a/tests/spread/spread.test.ts
+++ b/tests/spread/spread.test.ts
@@ -29,7 +29,7 @@
   readonly addresses: readonly string[];
 };
 
-/** Twelve processes that know three seeds; frames are counted by type. */
+/** Twelve processes with the same three seeds; received frames are counted by type. */
 const openGroup = (seed: number): Group => {
   const world = openWorld(seed);
   const network = openNetwork(world);
@@ -68,7 +68,7 @@
   assert.equal(new Set(spreads.map((spread) => spread.view().partners.size)), new Set([11]));
 });
 
-test('news reaches everyone soon, and its whole text goes about once to each', async () => {
+test('a configuration and a list reach all nodes within 250 ms, and are sent in whole about once per node', async () => {
   for (let seed = 1; seed <= 10; seed += 1) {
     const { world, spreads, counts } = openGroup(seed);
     await world.playUntil(3 * second);
@@ -82,13 +82,13 @@
     await world.playUntil(world.now() + 2 * second);
     assert.ok(
       (counts.get('setup') ?? 0) <= 15,
-      `seed ${seed}: ${counts.get('setup')} whole setups were sent to 11 processes`,
+      `seed ${seed}: ${counts.get('setup')} whole configurations were sent to 11 processes`,
     );
     assert.ok((counts.get('list') ?? 0) <= 15, `seed ${seed}: ${counts.get('list')} whole lists were sent`);
   }
 });
 
-test('news passes round a cut, an older text changes nothing, and a split heals', async () => {
+test('a configuration is routed around cut links, an older one is ignored, and a partition heals', async () => {
   const { world, network, ports, spreads, addresses } = openGroup(3);
   await world.playUntil(3 * second);
   for (const address of addresses.slice(1, 11)) network.cut(addresses[0] ?? '', address);
@@ -114,14 +114,14 @@
   assert.equal(new Set(spreads.map((spread) => spread.view().list?.version)), new Set([4]));
 });
 
-test('the platform time that nodes keep only grows and never runs ahead', async () => {
+test('the bound of the platform time on each node is behind the true time by less than 10 ms, and never ahead', async () => {
   const { world, spreads } = openGroup(4);
   await world.playUntil(3 * second);
-  const bornUs = 900 * second;
-  spreads[2]?.offerList(listOf(1, bornUs + world.now(), []));
+  const originUs = 900 * second;
+  spreads[2]?.offerList(listOf(1, originUs + world.now(), []));
   await world.playUntil(world.now() + second);
   for (const spread of spreads) {
-    const behindUs = bornUs + world.now() - spread.platformUs();
+    const behindUs = originUs + world.now() - spread.platformUs();
     assert.ok(behindUs >= 0 && behindUs < 10_000, `${behindUs} us behind`);
   }
 });
--- a/tests/spread/wire-format.test.ts
+++ b/tests/spread/wire-format.test.ts
@@ -6,7 +6,7 @@
 import type { Frame } from '../../src/spread/frame/frame.js';
 import { frameBytesOf, readFrame } from '../../src/spread/link/wire-format.js';
 
-const routes = Array.from({ length: 2_000 }, (_, place) => `{"name":"r-${place}","prefix":"/p${place}/","tries":2}`);
+const routes = Array.from({ length: 2_000 }, (_, index) => `{"name":"r-${index}","prefix":"/p${index}/","tries":2}`);
 
 const entry: Frame = {
   type: 'control',
@@ -36,19 +36,19 @@
   },
 };
 
-test('a large frame travels in a fraction of its bytes and comes out as it was', () => {
+test('a large frame is compressed and survives the round trip', () => {
   const bytes = frameBytesOf(entry);
   const plainBytes = serialize(entry).length;
   assert.ok(bytes.length * 4 < plainBytes, `${bytes.length} of ${plainBytes} bytes`);
   assert.equal(readFrame(bytes).extract(), entry);
 });
 
-test('a small frame travels as it is', () => {
+test('a small frame is not compressed', () => {
   const small: Frame = { type: 'request', requestId: 'r', request: { type: 'read' } };
   assert.equal(Buffer.from(frameBytesOf(small)), Buffer.from(serialize(small)));
 });
 
-test('a frame that would grow beyond the largest document, or is cut short, is an error and no end of the process', () => {
+test('a frame that inflates beyond the largest document, or is truncated, is an error result and not an exception', () => {
   const huge = serialize({ deflated: deflateRawSync(Buffer.alloc(80 << 20)) });
   assert.ok(readFrame(huge).isLeft());
   const whole = deflateRawSync(serialize(entry));
