--- a/tests/control/operator.test.ts
+++ b/tests/control/operator.test.ts
@@ -10,7 +10,7 @@
 import { openOperatorService } from '../../src/process/operator/operator-service.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
-import { bareCore } from '../router/loopback.js';
+import { inMemoryCore } from '../router/loopback.js';
 
 type Response = { readonly status: number; readonly etag: unknown; readonly text: string };
 
@@ -49,7 +49,7 @@
 const operator = suite('operator');
 
 operator('a put is committed on its expected revision, a second one on the same revision is a conflict', () =>
-  withOperator(bareCore(), async (call) => {
+  withOperator(inMemoryCore(), async (call) => {
     const current = await call('GET', '/operator/setup');
     assert.equal([current.status, current.etag], [200, '"1"']);
     const committed = await call('PUT', '/operator/setup', sampleSetup('two'), {
@@ -71,7 +71,7 @@
 );
 
 operator('an invalid setup is refused with the paths of its errors, and never proposed', () =>
-  withOperator(bareCore(), async (call) => {
+  withOperator(inMemoryCore(), async (call) => {
     const valid = sampleSetup('bad');
     const invalid = await call('PUT', '/operator/setup', {
       ...valid,
@@ -89,7 +89,7 @@
 );
 
 operator('a proposal without a final reply is unknown, never refused, and its withdrawal decides it', async () => {
-  const core = bareCore();
+  const core = inMemoryCore();
   let isSilent = true;
   const silentCore: CoreClient = {
     ask: (coreRequest, budgetUs) =>
