--- a/tests/mutants/control-mutants.ts
+++ b/tests/mutants/control-mutants.ts
@@ -20,8 +20,8 @@
   {
     name: 'no heartbeat while a snapshot is under way',
     file: 'src/control/machine/replication.ts',
-    find: 'return andThen(stepOf(replica, heartbeatTo(replica, identity)), (beatReplica) =>',
-    put: 'return andThen(stepOf(replica), (beatReplica) =>',
+    find: 'return andThen(stepOf(replica, heartbeatTo(replica, identity)), (afterHeartbeat) =>',
+    put: 'return andThen(stepOf(replica), (afterHeartbeat) =>',
     by: test('tests/control/snapshot-transfer.test.js'),
   },
   {
@@ -34,8 +34,8 @@
   {
     name: 'a state larger than its file is taken',
     file: 'src/control/machine/state-limit.ts',
-    find: 'if (quickBytes <= replica.stateLimitBytes || growsNothing(replica, command)) return true;',
-    put: 'if (quickBytes >= 0 || growsNothing(replica, command)) return true;',
+    find: 'if (upperBoundBytes <= replica.stateLimitBytes || isSizeNeutral(replica, command)) return true;',
+    put: 'if (upperBoundBytes >= 0 || isSizeNeutral(replica, command)) return true;',
     by: test('tests/control/state-limit.test.js'),
   },
   {
@@ -90,8 +90,8 @@
   {
     name: 'an entry of a former term committed by copies',
     file: 'src/control/machine/commit.ts',
-    find: 'termAt(replica, heldIndex) === replica.term ?',
-    put: 'heldIndex >= 0 ?',
+    find: 'termAt(replica, majorityIndex) === replica.term ?',
+    put: 'majorityIndex >= 0 ?',
     by: test('tests/control/terms.test.js'),
   },
   {
@@ -153,8 +153,8 @@
   {
     name: 'a machine that is no voter by its own log refuses its vote',
     file: 'src/control/machine/elections.ts',
-    find: 'message.term === replica.term && isFree &&',
-    put: 'message.term === replica.term && isVoter(replica, replica.identity) && isFree &&',
+    find: 'message.term === replica.term && hasNoOtherVote &&',
+    put: 'message.term === replica.term && isVoter(replica, replica.identity) && hasNoOtherVote &&',
     by: test('tests/control/membership.test.js'),
   },
   {
@@ -174,14 +174,14 @@
   {
     name: 'a notice of leaving counts for nothing',
     file: 'src/control/machine/membership-change.ts',
-    find: 'replica.atUs < (replica.leavingUntilUs.get(voter.identity) ?? 0)',
+    find: 'replica.atUs < (replica.leaveNoticeExpiryUs.get(voter.identity) ?? 0)',
     put: 'replica.atUs < 0',
     by: test('tests/control/leave.test.js'),
   },
   {
     name: 'a voter is removed although it has the only second copy',
     file: 'src/control/machine/membership-change.ts',
-    find: 'votersOf(replica).filter((voter) => mayRemoveVoter(replica, voter))',
+    find: 'votersOf(replica).filter((voter) => canRemoveVoter(replica, voter))',
     put: 'votersOf(replica)',
     by: test('tests/control/membership.test.js'),
   },
@@ -202,7 +202,7 @@
   {
     name: 'a bound seed follows a core of any binding',
     file: 'src/control/machine/bootstrap.ts',
-    find: '    !isPromisedElsewhere &&\n',
+    find: '    !hasConflictingOffer &&\n',
     put: '',
     by: test('tests/control/founding.test.js'),
   },
@@ -216,8 +216,8 @@
   {
     name: 'a replica votes twice in a term',
     file: 'src/control/machine/elections.ts',
-    find: 'const isFree = replica.votedFor === undefined || replica.votedFor === from;',
-    put: 'const isFree = from !== replica.identity;',
+    find: 'const hasNoOtherVote = replica.votedFor === undefined || replica.votedFor === from;',
+    put: 'const hasNoOtherVote = from !== replica.identity;',
     by: test('tests/model/model.test.js'),
   },
   {
@@ -230,8 +230,8 @@
   {
     name: 'a candidate does not keep its own vote',
     file: 'src/control/machine/elections.ts',
-    find: "effects: [{ type: 'persist', record: { type: 'vote', term, votedFor: replica.identity } }, ...standing.effects]",
-    put: 'effects: standing.effects',
+    find: "effects: [{ type: 'persist', record: { type: 'vote', term, votedFor: replica.identity } }, ...candidacy.effects]",
+    put: 'effects: candidacy.effects',
     by: test('tests/model/model.test.js'),
   },
   {
@@ -244,7 +244,7 @@
   {
     name: 'the log is cut below the commit index',
     file: 'src/control/machine/follower.ts',
-    find: 'const newEntries = entries.slice(newPlace);',
+    find: 'const newEntries = entries.slice(firstNewOffset);',
     put: 'const newEntries = entries;',
     by: test('tests/model/model.test.js'),
   },
@@ -272,15 +272,15 @@
   {
     name: 'the commit index runs ahead of what was matched',
     file: 'src/control/machine/follower.ts',
-    find: 'commitTo(longerReplica, Math.min(message.commit, reachedIndex))',
-    put: 'commitTo(longerReplica, message.commit)',
+    find: 'commitTo(afterStore, Math.min(message.commit, lastNewIndex))',
+    put: 'commitTo(afterStore, message.commit)',
     by: test('tests/model/model.test.js'),
   },
   {
     name: 'an append is taken without its predecessor',
     file: 'src/control/machine/follower.ts',
-    find: '!isBehindSnapshot && termAt(heardReplica, message.previousIndex) !== message.previousTerm',
-    put: '!isBehindSnapshot && message.previousIndex > lastIndexOf(heardReplica)',
+    find: '!isBehindSnapshot && termAt(afterContact, message.previousIndex) !== message.previousTerm',
+    put: '!isBehindSnapshot && message.previousIndex > lastIndexOf(afterContact)',
     by: test('tests/model/model.test.js'),
   },
 ];
