--- a/src/process/control/control-node.ts
+++ b/src/process/control/control-node.ts
@@ -17,7 +17,7 @@
 import { openControlTask, type ControlTask } from './control-task.js';
 import { openQuotaStoreTask, type QuotaStoreTask } from './quota-store-task.js';
 
-/** A core machine with all its tasks; only HTTP is added from outside. */
+/** A control node with all its tasks, without its HTTP server. */
 export type ControlNode = {
   readonly spread: SpreadTask;
   readonly control: ControlTask;
@@ -25,9 +25,10 @@
   readonly desk: OperatorService;
   readonly counters: Counters;
   readonly quotas: QuotaStoreTask;
+  /** Why the node is not ready to serve; undefined while it is ready. */
   readonly unready: () => string | undefined;
   readonly start: () => Promise<void>;
-  /** Hands its place over if it leads, and ends. */
+  /** Transfers leadership if this node is the leader, then closes all tasks. */
   readonly stop: () => Promise<void>;
 };
 
@@ -35,14 +36,17 @@
   readonly settings: ControlSettings;
   readonly log: Log;
   readonly surroundings: Surroundings;
-  /** Called once when the disk can no longer be written. */
+  /** Called once on a fatal error: the disk has failed or an invariant of the log is broken. */
   readonly fail: (error: TypedError) => void;
 };
 
-/** For so long a machine that stops goes on, so that its successor leads and a learner that stands by has its vote. */
-const handOverUs = 250_000;
+/**
+ * How long a stopping node continues to run after it resigned, so that the new leader is established and a standby learner
+ * is promoted to voter in its place.
+ */
+const handoverUs = 250_000;
 
-/** Opens the disk of a core machine and puts its tasks together. */
+/** Opens the disk of a control node and assembles its tasks; fails if the disk can not be opened. */
 export const openControlNode = ({
   settings,
   log,
@@ -74,7 +78,7 @@
       replica: control.replica,
       ...(settings.quota === undefined ? {} : { tolerance: settings.quota }),
     });
-    let closeReport = (): void => undefined;
+    let closeFailureReport = (): void => undefined;
     const loopDelay = openLoopDelay(surroundings.clock, counters);
     const state = () => {
       const { role, term, commit } = control.replica();
@@ -96,23 +100,25 @@
       unready: () => {
         const replica = control.replica();
         const { leader, role } = replica;
-        if (leader === undefined) return `no leader is known (${role})`;
-        if (role === 'learner' || role === 'unfounded') return `not a voter of the core yet (${role})`;
-        return hasCommittedInTerm(replica) ? undefined : `nothing of term ${replica.term} is committed here yet`;
+        if (leader === undefined) return `no leader of the core is known (role: ${role})`;
+        if (role === 'learner' || role === 'unfounded') return `not yet a voter of the core (role: ${role})`;
+        return hasCommittedInTerm(replica)
+          ? undefined
+          : `no entry of term ${replica.term} is committed on this node yet`;
       },
       start: async () => {
         await spread.start();
         source.start();
         control.start();
-        closeReport = openFailureReport(surroundings.clock, log, counters, state).close;
+        closeFailureReport = openFailureReport(surroundings.clock, log, counters, state).close;
         log.change('started', { identity: control.replica().identity, role: control.replica().role });
       },
       stop: async () => {
         log.change('stopping', {});
         await control.resign();
-        await paused(surroundings.clock, handOverUs);
+        await paused(surroundings.clock, handoverUs);
         source.close();
-        closeReport();
+        closeFailureReport();
         loopDelay.close();
         await control.close();
         spread.close();
--- a/src/process/control/quota-store-task.ts
+++ b/src/process/control/quota-store-task.ts
@@ -11,7 +11,7 @@
 import type { Counters } from '../counters.js';
 import type { SpreadTask } from '../spread-task.js';
 
-/** What is left of one tenant's bucket at this machine. */
+/** The level of one tenant's token bucket on this node. */
 export type QuotaLevel = {
   readonly tenant: string;
   readonly level: number;
@@ -19,7 +19,7 @@
   readonly ratePerSecond: number;
 };
 
-/** The task that owns a core machine's share of the quota store. */
+/** Owns a control node's share of the quota buckets. */
 export type QuotaStoreTask = {
   readonly levels: () => readonly QuotaLevel[];
 };
@@ -33,18 +33,19 @@
 };
 
 /**
- * A voter grants while it has heard from its leader within this lease. It is shorter than the silence after which a voter
- * at another address may be replaced, so that a machine that was replaced grants nothing beside its successor.
+ * A voter may grant while its last contact with the leader is within this lease. The lease is shorter than the silence
+ * after which a voter may be replaced by a node at another address, so that a replaced node never grants beside its
+ * successor.
  */
 export const grantLeaseUs: Micros = 1_500_000;
 
-/** Whether a machine may grant: the leader, or a voter within its lease. */
+/** Whether a node may grant quota: it is the leader or a voter within its lease, and is not leaving the core. */
 export const mayGrant = (replica: Replica, nowUs: Micros): boolean =>
   isVoter(replica, replica.identity) &&
   (replica.role === 'leader' || nowUs - replica.leaderContactUs < grantLeaseUs) &&
   !replica.isLeaving;
 
-/** Answers routers from this machine's share of every bucket; nothing of it is written to disk. */
+/** Answers the quota requests of routers from this node's share of each bucket. The buckets are held in memory only. */
 export const openQuotaStoreTask = ({
   spread,
   clock,
@@ -54,7 +55,7 @@
 }: QuotaStoreTaskParts): QuotaStoreTask => {
   let state = startQuotaStore(clock.now());
 
-  const take = (event: QuotaStoreEvent): QuotaReply | undefined => {
+  const handle = (event: QuotaStoreEvent): QuotaReply | undefined => {
     const step = stepQuotaStore(state, event);
     state = step.state;
     return step.reply;
@@ -63,12 +64,12 @@
   const replyTo = (request: QuotaRequest): QuotaReply => {
     const nowUs = clock.now();
     if (!mayGrant(replica(), nowUs)) return { type: 'unavailable' };
-    return take({ type: 'request', at: nowUs, request }) ?? { type: 'unavailable' };
+    return handle({ type: 'request', at: nowUs, request }) ?? { type: 'unavailable' };
   };
 
   spread.events.on('setup', ({ setup }) => {
     const shares = replica().votersWanted;
-    take({ type: 'configured', at: clock.now(), tenants: setup.tenants ?? [], tolerance, shares });
+    handle({ type: 'configured', at: clock.now(), tenants: setup.tenants ?? [], tolerance, shares });
   });
   spread.events.on('quotaRequest', (from, { ask, request }) => {
     const reply = replyTo(request);
--- a/src/process/surroundings/real-surroundings.ts
+++ b/src/process/surroundings/real-surroundings.ts
@@ -6,7 +6,7 @@
 import { listenForDiskTrouble } from '../rehearsed-disk.js';
 import type { Surroundings } from './surroundings.js';
 
-/** The world as a real process has it. */
+/** The dependencies of a real process: monotonic clock, TCP links and files. */
 export const realSurroundings: Surroundings = {
   clock: steadyClock,
   chance: () => Math.random(),
