--- a/src/process/http/break-off.ts
+++ b/src/process/http/break-off.ts
@@ -1,9 +1,9 @@
 import type { ServerResponse } from 'node:http';
 
-/** Whether nothing but the end of its connection tells the caller where an answer ends. */
+/** Whether the end of the response is marked by the close of the connection alone, as in HTTP/1.0. */
 const endsWithConnection = ({ headersSent, req }: ServerResponse): boolean => headersSent && req.httpVersion === '1.0';
 
-/** Breaks an answer off so that it does not look whole, also where it has neither a length nor chunks. */
+/** Aborts a response so that the client recognises it as truncated. A response without length and chunks needs a TCP reset for that. */
 export const breakOffResponse = (response: ServerResponse): void => {
   if (endsWithConnection(response)) response.socket?.resetAndDestroy();
   response.destroy();
--- a/src/process/http/caller-connections.ts
+++ b/src/process/http/caller-connections.ts
@@ -3,57 +3,57 @@
 import type { Duplex } from 'node:stream';
 import { breakOffResponse } from './break-off.js';
 
-/** What a process needs of its callers' connections when it stops. */
+/** Drains the connections of clients when a process stops. */
 export type CallersAtStop = {
-  /** From now on each connection ends with the answer to the newest request that was taken of it. */
+  /** Makes the response to the newest accepted request of each connection its last one, from now on. */
   readonly retire: () => void;
-  /** Ends the connections on which nothing is to be answered. */
+  /** Closes the connections without an unanswered request. */
   readonly endIdle: () => void;
-  /** How many requests were taken and are not answered yet, up to the last byte. */
+  /** The number of accepted requests whose response is not completely sent. */
   readonly unanswered: () => number;
 };
 
 /**
- * Keeps the requests of each connection in their order. Callers may send several before they read an answer: whatever
- * is taken of a connection is answered before the connection ends, and nothing is taken whose answer could not be given.
+ * Tracks the requests of each connection in order, since clients may pipeline them (HTTP/1.1). Each accepted request is answered before
+ * its connection closes, and a request that could not be answered is not accepted.
  */
 export type CallerConnections = CallersAtStop & {
   /**
-   * Takes a request as the next one of its connection. False where an earlier answer closes the connection: the request
-   * must not run, and its caller learns from the close that it has not.
+   * Accepts a request as the next one of its connection. False if an earlier response closes the connection: then the request
+   * must not run, and the close shows its client that it did not.
    */
   readonly take: (message: IncomingMessage, response: ServerResponse) => boolean;
   /**
-   * Ends a connection that brings no further request: once all requests that came whole are answered, or at once behind an
-   * answer to one that did not. False where there is neither, so that the fault itself may be answered.
+   * Closes a connection after a protocol error: once all completely received requests are answered, or at once if the response to an
+   * incomplete one has begun. False if neither applies, so that the error itself can be answered.
    */
   readonly endAfterAnswers: (socket: Duplex) => boolean;
-  /** Breaks off whatever is still unanswered. */
+  /** Aborts all responses that are not completely sent. */
   readonly breakOff: () => void;
 };
 
-type TakenRequest = { readonly message: IncomingMessage; readonly response: ServerResponse };
+type AcceptedRequest = { readonly message: IncomingMessage; readonly response: ServerResponse };
 
 type Connection = {
-  /** The requests that are not answered yet, in their order. */
-  readonly open: Set<TakenRequest>;
-  newest: TakenRequest | undefined;
-  /** Whether an answer closes the connection for certain, or its caller wants no further one. */
+  /** The unanswered requests, in order. */
+  readonly open: Set<AcceptedRequest>;
+  newest: AcceptedRequest | undefined;
+  /** Whether a response is certain to close the connection, or the client has asked for the close. */
   isClosing: boolean;
 };
 
-/** Whether an answer that is on its way tells its caller that the connection ends with it. */
-const isLast = ({ response }: TakenRequest): boolean => response.headersSent && !response.shouldKeepAlive;
+/** Whether the head of a response has been sent and announces the close of the connection. */
+const isLast = ({ response }: AcceptedRequest): boolean => response.headersSent && !response.shouldKeepAlive;
 
-/** Makes an answer the last one of its connection; false where its head is on the way already. */
-const makeLast = ({ response }: TakenRequest): boolean => {
+/** Makes a response the last one of its connection; false if its head has been sent already. */
+const makeLast = ({ response }: AcceptedRequest): boolean => {
   if (response.headersSent) return false;
   response.shouldKeepAlive = false;
   return true;
 };
 
-/** Responses that wait for an earlier one have no connection yet: Node does not tell them that it was closed. */
-const dropWaiting = ({ open }: Connection): void => {
+/** Closes the responses queued behind another one. They have no socket yet, so Node emits no 'close' for them. */
+const closeQueued = ({ open }: Connection): void => {
   for (const { response } of [...open]) {
     if (response.socket !== null) continue;
     response.destroy();
@@ -61,23 +61,23 @@
   }
 };
 
-/** Follows the connections of a server. It must be opened before the server listens. */
+/** Tracks the connections of a server. It must be opened before the server listens. */
 export const openCallerConnections = (server: Server): CallerConnections => {
   const connections = new Map<Socket, Connection>();
   let unanswered = 0;
   let isRetired = false;
 
-  const follow = (socket: Socket): Connection => {
+  const track = (socket: Socket): Connection => {
     const connection: Connection = { open: new Set(), newest: undefined, isClosing: false };
     connections.set(socket, connection);
     socket.once('close', () => {
       connections.delete(socket);
-      dropWaiting(connection);
+      closeQueued(connection);
     });
     return connection;
   };
 
-  const add = (connection: Connection, request: TakenRequest): void => {
+  const add = (connection: Connection, request: AcceptedRequest): void => {
     connection.open.add(request);
     connection.newest = request;
     unanswered += 1;
@@ -91,18 +91,18 @@
   };
 
   const take = (message: IncomingMessage, response: ServerResponse): boolean => {
-    const connection = connections.get(message.socket) ?? follow(message.socket);
+    const connection = connections.get(message.socket) ?? track(message.socket);
     const { newest } = connection;
     if (connection.isClosing || (newest !== undefined && isLast(newest))) return false;
     if (newest !== undefined) newest.response.shouldKeepAlive = true;
-    const request: TakenRequest = { message, response };
+    const request: AcceptedRequest = { message, response };
     connection.isClosing = !response.shouldKeepAlive;
     add(connection, request);
     if (isRetired) makeLast(request);
     return true;
   };
 
-  server.on('connection', follow);
+  server.on('connection', track);
 
   return {
     breakOff: () => {
--- a/src/process/http/caller-over-http.ts
+++ b/src/process/http/caller-over-http.ts
@@ -4,7 +4,7 @@
 import { breakOffResponse } from './break-off.js';
 import { reply, replyError } from './reply.js';
 
-/** The way back to a caller over HTTP. */
+/** Writes the response of an exchange to a client over HTTP: chunks as NDJSON lines, or one JSON document. */
 export const callerOverHttp = (response: ServerResponse): CallerLink => {
   const begin = (exchange: string): void => {
     if (!response.headersSent)
@@ -12,9 +12,9 @@
   };
   return {
     isGone: () => response.destroyed,
-    onGone: (act) =>
+    onGone: (listener) =>
       void response.on('close', () => {
-        if (!response.writableFinished) act();
+        if (!response.writableFinished) listener();
       }),
     piece: async (exchange, line) => {
       begin(exchange);
--- a/src/process/http/http-server.ts
+++ b/src/process/http/http-server.ts
@@ -9,32 +9,32 @@
 import { replyError } from './reply.js';
 import { typedError } from '../../common/typed-error.js';
 
-/** The HTTP side of a process. */
+/** The HTTP server of a process. */
 export type HttpServer = {
   readonly app: polka.Polka;
   readonly listen: () => Promise<void>;
   readonly callers: CallersAtStop;
-  /** Takes the time limits of a newer configuration. */
+  /** Applies the time limits of a new configuration. */
   readonly follow: CallerTimeLimits['follow'];
-  /** Ends once what is under way is done, or a second later; whoever goes on asking on a kept link is let go. */
+  /** Closes the server once all accepted requests are answered, at the latest after `closeTimeoutUs`. No further ones are accepted. */
   readonly close: () => Promise<void>;
 };
 
-const closeBudgetUs: Micros = 1_000_000;
-const requestBudgetUs: Micros = 60_000_000;
-/** In force until a configuration names others. */
-const startLimits = { headUs: 10_000_000, idleUs: 30_000_000 };
+const closeTimeoutUs: Micros = 1_000_000;
+const requestTimeoutUs: Micros = 60_000_000;
+/** In effect until a configuration sets others. */
+const initialLimits = { headUs: 10_000_000, idleUs: 30_000_000 };
 
 export const openHttpServer = (address: string, counters: Counters): HttpServer => {
   const server = createServer();
-  const timeLimits = openCallerTimeLimits(server, requestBudgetUs);
-  timeLimits.follow(startLimits);
+  const timeLimits = openCallerTimeLimits(server, requestTimeoutUs);
+  timeLimits.follow(initialLimits);
   const connections = openCallerConnections(server);
   const app = polka({
     server,
     onNoMatch: (_message, response) => replyError(response, 404, typedError('not-found', 'no such path or method')),
     onError: (_error, _message, response) =>
-      replyError(response, 400, typedError('bad-exchange', 'the headers or the path do not hold')),
+      replyError(response, 400, typedError('bad-exchange', 'the headers or the path are malformed')),
   });
   app.use((message, response, next) => {
     if (connections.take(message, response)) {
@@ -61,9 +61,9 @@
     close: () =>
       new Promise((resolve) => {
         connections.retire();
-        const takeBack = steadyClock.after(closeBudgetUs, () => server.closeAllConnections());
+        const cancelTimeout = steadyClock.after(closeTimeoutUs, () => server.closeAllConnections());
         server.close(() => {
-          takeBack();
+          cancelTimeout();
           resolve();
         });
         connections.endIdle();
