--- a/src/process/core-client.ts
+++ b/src/process/core-client.ts
@@ -21,7 +21,7 @@
 /** The time-out of an attempt at one control node. It is shorter for a short budget, so that it allows two attempts at least. */
 const attemptTimeoutUs: Micros = 600_000;
 const shortBudgetUs: Micros = 800_000;
-const shortAttemptTimeoutUs: Micros = 350_000;
+const shortTimeoutUs: Micros = 350_000;
 
 type PendingRequest = {
   readonly address: string;
@@ -31,8 +31,7 @@
 /** The pause between two attempts, unless the reply named the leader. */
 const pauseUs: Micros = 40_000;
 
-const attemptTimeoutOf = (budgetUs: Micros): Micros =>
-  budgetUs > shortBudgetUs ? attemptTimeoutUs : shortAttemptTimeoutUs;
+const attemptTimeoutOf = (budgetUs: Micros): Micros => (budgetUs > shortBudgetUs ? attemptTimeoutUs : shortTimeoutUs);
 
 const isFinal = (reply: CoreReply): boolean => reply.type === 'applied' || reply.type === 'record';
 
