--- a/src/process/control/control-node.ts
+++ b/src/process/control/control-node.ts
@@ -22,6 +22,7 @@
   readonly spread: SpreadTask;
   readonly control: ControlTask;
   readonly core: CoreClient;
+  /** The service for the calls of operators. */
   readonly desk: OperatorService;
   readonly counters: Counters;
   readonly quotas: QuotaStoreTask;
