--- a/src/process/http/operator-paths.ts
+++ b/src/process/http/operator-paths.ts
@@ -59,7 +59,7 @@
   const message =
     outcome.type === 'cancelled'
       ? 'the proposal was withdrawn and can never be committed'
-      : `another proposal was committed first: the newest revision was ${outcome.revision}`;
+      : `the newest revision was ${outcome.revision}, not the expected one`;
   replyError(response, 409, typedError('lost-race', message), {
     outcome: outcome.type === 'cancelled' ? 'void' : 'lost-race',
     proposal,
--- a/src/process/memory/memory-pool.ts
+++ b/src/process/memory/memory-pool.ts
@@ -36,7 +36,7 @@
   readonly settle: (outcome: Either<TypedError, Reservation>) => void;
 };
 
-const overMemory = typedError('over-memory', 'no memory for the request body became free in time');
+const overMemory = typedError('over-memory', 'refused: not enough memory for the request body at the moment');
 
 /** Opens an empty pool, in which at most `maxWaiting` requests wait. */
 export const openMemoryPool = (capacityBytes: number, maxWaiting: number, clock: Clock): MemoryPool => {
