--- a/src/process/core-client.ts
+++ b/src/process/core-client.ts
@@ -5,7 +5,7 @@
 import { typedError, type TypedError } from '../common/typed-error.js';
 import type { CoreReply } from '../control/machine/core-reply.js';
 import type { CoreRequest } from '../spread/frame/frame.js';
-import type { SpreadTask } from './spread-task.js';
+import type { GossipTask } from './gossip-task.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
 /** Asks the core, wherever its leader is. Every request may be put twice: the log knows it again. */
@@ -20,7 +20,7 @@
 
 type PendingRequest = {
   readonly address: string;
-  readonly hear: (reply: CoreReply) => void;
+  readonly onReply: (reply: CoreReply) => void;
 };
 
 const pauseUs: Micros = 40_000;
@@ -30,7 +30,7 @@
 const isLast = (reply: CoreReply): boolean => reply.type === 'applied' || reply.type === 'record';
 
 export const openCoreClient = (
-  spread: SpreadTask,
+  spread: GossipTask,
   { clock, freshName }: Pick<Surroundings, 'clock' | 'freshName'>,
 ): CoreClient => {
   /** The replies that are waited for, by request id; each one only from the address that was asked. */
@@ -39,7 +39,7 @@
   let turn = 0;
   spread.events.on('reply', (from, { requestId, reply }) => {
     const request = pending.get(requestId);
-    if (request?.address === from) request.hear(reply);
+    if (request?.address === from) request.onReply(reply);
   });
 
   const targetAddress = (): string | undefined => {
@@ -68,14 +68,14 @@
         new Promise((resolve) => {
           const requestId = freshName();
           requestIds.push(requestId);
-          const hear = (reply: CoreReply): void => {
+          const handleReply = (reply: CoreReply): void => {
             pending.delete(requestId);
             if (isLast(reply)) {
               leaderAddress = address;
               hearLast(reply);
             } else resolve(reply);
           };
-          pending.set(requestId, { address, hear });
+          pending.set(requestId, { address, onReply: handleReply });
           spread.send(address, { type: 'request', requestId, request });
         });
       try {
@@ -91,8 +91,8 @@
           if (address !== undefined && reply?.type !== 'not-leader') mayStand = true;
           leaderAddress = reply?.type === 'not-leader' && reply.leader !== address ? reply.leader : undefined;
           if (leaderAddress !== undefined) continue;
-          const lateReceipt = await Promise.race([lastWord, paused(clock, pauseUs)]);
-          if (lateReceipt !== undefined) return Right(lateReceipt);
+          const lateReply = await Promise.race([lastWord, paused(clock, pauseUs)]);
+          if (lateReply !== undefined) return Right(lateReply);
         }
         return Left(
           mayStand && request.type === 'propose'
--- a/src/process/failure-report.ts
+++ b/src/process/failure-report.ts
@@ -29,7 +29,7 @@
 ] as const;
 
 /** At most one line in so long, and none while nothing fails. */
-export const reportSpanUs: Micros = 5_000_000;
+export const reportIntervalUs: Micros = 5_000_000;
 
 const isFailure = (name: string): boolean => failureCounters.some((prefix) => name.startsWith(prefix));
 
@@ -60,7 +60,7 @@
     told = present;
     if (Object.keys(failures).length > 0) log.change('failures', { failures, ...state() });
   };
-  const endReports = every(clock, reportSpanUs, tell);
+  const endReports = every(clock, reportIntervalUs, tell);
   return {
     close: () => {
       endReports();
--- a/src/process/spread-task-events.ts
+++ b/src/process/gossip-task-events.ts
@@ -4,7 +4,7 @@
 import type { Frame } from '../spread/frame/frame.js';
 
 /** What the spread task tells the other tasks of its process. */
-export type SpreadTaskEvents = {
+export type GossipTaskEvents = {
   readonly setup: [record: SetupRecord];
   readonly list: [list: ServerList];
   /** A partner told of a whole reading of the platform's list. */
--- a/src/process/spread-task.ts
+++ b/src/process/gossip-task.ts
@@ -15,12 +15,12 @@
 import type { Peer } from '../spread/peer/peer.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
-import type { SpreadTaskEvents } from './spread-task-events.js';
+import type { GossipTaskEvents } from './gossip-task-events.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
 /** The task that owns the partner links and what is spread over them. */
-export type SpreadTask = {
-  readonly events: EventEmitter<SpreadTaskEvents>;
+export type GossipTask = {
+  readonly events: EventEmitter<GossipTaskEvents>;
   readonly view: () => GossipView;
   /** The platform's time as far as it is certain; 0 while none is known. */
   readonly platformUs: () => Micros;
@@ -48,16 +48,16 @@
   'other-fleet': 'frames.otherFleet',
 };
 
-export const openSpreadTask = (
+export const openGossipTask = (
   self: Peer,
   seeds: readonly string[],
   log: Log,
   counters: Counters,
   { clock, openPartnerLinks }: Pick<Surroundings, 'clock' | 'openPartnerLinks'>,
   options: LinkOptions = {},
-): SpreadTask => {
+): GossipTask => {
   const links = openPartnerLinks(self.address, options);
-  const events = new EventEmitter<SpreadTaskEvents>();
+  const events = new EventEmitter<GossipTaskEvents>();
   let view = initialGossipView(self, seeds);
   let endTicks = (): void => undefined;
   let partnersToldUs = Number.NEGATIVE_INFINITY;
--- a/src/process/loop-delay.ts
+++ b/src/process/loop-delay.ts
@@ -12,7 +12,7 @@
 };
 
 /** How often it is looked; shorter delays between two looks may be missed. */
-export const loopLookSpanUs: Micros = 100_000;
+export const loopSampleIntervalUs: Micros = 100_000;
 /** What the histogram can hold: it takes no zero, and longer delays count as the longest one. */
 const leastUs: Micros = 1;
 const mostUs: Micros = 600_000_000;
@@ -23,9 +23,9 @@
   const histogram = createHistogram({ lowest: leastUs, highest: mostUs, figures: significantDigits });
   let lookedUs = clock.now();
   let longestUs: Micros = 0;
-  const endLooks = every(clock, loopLookSpanUs, () => {
+  const endLooks = every(clock, loopSampleIntervalUs, () => {
     const nowUs = clock.now();
-    const delayUs = Math.min(mostUs, Math.max(leastUs, nowUs - lookedUs - loopLookSpanUs));
+    const delayUs = Math.min(mostUs, Math.max(leastUs, nowUs - lookedUs - loopSampleIntervalUs));
     lookedUs = nowUs;
     longestUs = Math.max(longestUs, delayUs);
     histogram.record(delayUs);
--- a/src/process/source-task.ts
+++ b/src/process/poller-task.ts
@@ -9,11 +9,11 @@
 import type { PeerRole } from '../spread/peer/peer-role.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
-import type { SpreadTask } from './spread-task.js';
+import type { GossipTask } from './gossip-task.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
 /** The task that asks the platform for its list when it is this node's turn. */
-export type SourceTask = {
+export type PollerTask = {
   readonly start: () => void;
   readonly close: () => void;
 };
@@ -22,14 +22,14 @@
 const readBudgetUs: Micros = 1_000_000;
 
 /** Without a source in the surroundings the list is told, and the task does nothing. */
-export const openSourceTask = (
+export const openPollerTask = (
   role: PeerRole,
   node: string,
-  spread: Pick<SpreadTask, 'events' | 'offerReading'>,
+  spread: Pick<GossipTask, 'events' | 'offerReading'>,
   log: Log,
   counters: Counters,
   { clock, listSource }: Pick<Surroundings, 'clock' | 'listSource'>,
-): SourceTask => {
+): PollerTask => {
   if (listSource === undefined) return { start: () => undefined, close: () => undefined };
   let view = initialPollerView(role, node, clock.now());
   let isClosed = false;
--- a/src/process/rehearsed-disk.ts
+++ b/src/process/rehearsed-disk.ts
@@ -5,7 +5,7 @@
 const troubleSchema = object({ delayUs: number().required().min(0), fails: boolean().required() }).required();
 
 /** The trouble that a rehearsal's launcher brings to this process's disk; none for a process that was started otherwise. */
-export const listenForDiskTrouble = (): (() => DiskTrouble) => {
+export const receiveDiskTrouble = (): (() => DiskTrouble) => {
   let currentTrouble = noTrouble;
   if (process.channel !== undefined) {
     process.on('message', (message) => {
--- a/src/process/serve-until-told.ts
+++ b/src/process/serve-until-stopped.ts
@@ -1,16 +1,16 @@
 import { EitherAsync, Right, type Either } from 'purify-ts';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
-import type { CallersAtStop } from './http/caller-connections.js';
+import type { ConnectionDrain } from './http/client-connections.js';
 import type { HttpServer } from './http/http-server.js';
-import { toldToStop } from './told-to-stop.js';
+import { waitForStopSignal } from './stop-signal.js';
 
 type ServedNode = {
   readonly start: () => Promise<void>;
-  readonly stop: (callers: CallersAtStop) => Promise<void>;
+  readonly stop: (callers: ConnectionDrain) => Promise<void>;
 };
 
 /** Serves a node over HTTP until it is due to stop, and ends both in order. */
-export const serveUntilDue = (
+export const serveUntilStopped = (
   http: HttpServer,
   node: ServedNode,
   stopWhenDue: (stop: () => Promise<void>) => Promise<Either<TypedError, void>>,
@@ -30,9 +30,9 @@
   });
 
 /** Serves a node over HTTP until the process is told to stop. */
-export const serveUntilTold = (http: HttpServer, node: ServedNode): EitherAsync<TypedError, void> =>
-  serveUntilDue(http, node, async (stop) => {
-    await toldToStop();
+export const serveUntilStopSignal = (http: HttpServer, node: ServedNode): EitherAsync<TypedError, void> =>
+  serveUntilStopped(http, node, async (stop) => {
+    await waitForStopSignal();
     await stop();
     return Right(undefined);
   });
--- a/src/process/told-to-stop.ts
+++ b/src/process/stop-signal.ts
@@ -3,18 +3,18 @@
 import type { UnexpectedExceptions } from './unexpected-exceptions.js';
 
 /** Waits until the process is told to stop. */
-export const toldToStop = (): Promise<void> =>
+export const waitForStopSignal = (): Promise<void> =>
   new Promise((resolve) => {
     process.once('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
   });
 
 /** Waits until the process is told to stop or an unexpected exception came, and stops it in order either way. */
-export const stopWhenDue = async (
+export const stopOnSignalOrException = async (
   exceptions: UnexpectedExceptions,
   stop: () => Promise<void>,
 ): Promise<Either<TypedError, void>> => {
-  await Promise.race([toldToStop(), exceptions.first]);
+  await Promise.race([waitForStopSignal(), exceptions.first]);
   await stop();
   exceptions.close();
   const count = exceptions.count();
--- a/tests/mutants/control-mutants.ts
+++ b/tests/mutants/control-mutants.ts
@@ -41,7 +41,7 @@
   {
     name: 'a batch that the next file holds already is appended to it again',
     file: 'src/process/control/durable-writer.ts',
-    find: '        if (hasTurned) return true;\n',
+    find: '        if (hasRotated) return true;\n',
     put: '',
     by: test('tests/control/durable-writer.test.js'),
   },
@@ -139,8 +139,8 @@
   {
     name: 'a core that lost everything asks no node for the newest setup',
     file: 'src/process/control/control-task.ts',
-    find: "    [...knownEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);\n    restore();",
-    put: "    [...knownEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);",
+    find: "    [...discoveryEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);\n    restore();",
+    put: "    [...discoveryEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);",
     by: test('tests/sim/lost-core.test.js'),
   },
   {
--- a/tests/mutants/platform-mutants.ts
+++ b/tests/mutants/platform-mutants.ts
@@ -26,7 +26,7 @@
   },
   {
     name: 'an answer to a client of HTTP/1.0 is broken off by an end in order',
-    file: 'src/process/http/break-off.ts',
+    file: 'src/process/http/abort-response.ts',
     find: 'if (endsWithConnection(response)) response.socket?.resetAndDestroy();',
     put: '',
     by: test('tests/platform/answer-framing.test.js'),
@@ -41,7 +41,7 @@
   {
     name: 'an answer to another request is given on',
     file: 'platform/server/server-link.ts',
-    find: "exchange.name !== '' && valueOf(raw, headerWords.attempt) !== exchange.name",
+    find: "exchange.name !== '' && valueOf(raw, headerNames.attempt) !== exchange.name",
     put: "exchange.name !== '' && raw.length === 0",
     by: test('tests/platform/one-answer.test.js'),
   },
--- a/tests/mutants/router-mutants.ts
+++ b/tests/mutants/router-mutants.ts
@@ -19,14 +19,14 @@
   },
   {
     name: 'each answer of a stopping router closes its connection, also where another one is to follow',
-    file: 'src/process/http/caller-connections.ts',
+    file: 'src/process/http/client-connections.ts',
     find: '    if (newest !== undefined) newest.response.shouldKeepAlive = true;\n',
     put: '',
     by: test('tests/platform/pipelined.test.js'),
   },
   {
     name: 'a request is taken behind an answer that closes its connection',
-    file: 'src/process/http/caller-connections.ts',
+    file: 'src/process/http/client-connections.ts',
     find: 'if (connection.isClosing || (newest !== undefined && isLast(newest))) return false;',
     put: '',
     by: test('tests/platform/pipelined.test.js'),
@@ -167,7 +167,7 @@
   {
     name: 'a client forgets an answer that comes in its last pause',
     file: 'src/process/core-client.ts',
-    find: '          if (lateReceipt !== undefined) return Right(lateReceipt);\n',
+    find: '          if (lateReply !== undefined) return Right(lateReply);\n',
     put: '',
     by: test('tests/control/core-client.test.js'),
   },
@@ -188,13 +188,13 @@
   {
     name: 'a reply counts whoever gives it',
     file: 'src/process/core-client.ts',
-    find: 'if (request?.address === from) request.hear(reply);',
-    put: 'request?.hear(reply);',
+    find: 'if (request?.address === from) request.onReply(reply);',
+    put: 'request?.onReply(reply);',
     by: test('tests/control/core-client.test.js'),
   },
   {
     name: 'connections that rest keep the limit that they began with',
-    file: 'src/process/http/caller-time-limits.ts',
+    file: 'src/process/http/client-time-limits.ts',
     find: 'if (count === 0) socket.setTimeout(idleMillis);',
     put: 'socket.ref();',
     by: test('tests/platform/limits.test.js'),
