--- a/src/common/bounded-map.ts
+++ b/src/common/bounded-map.ts
@@ -2,16 +2,16 @@
 import { emptyMap, type PersistentMap } from './persistent-map.js';
 
 /**
- * A persistent map of bounded size that forgets its oldest keys first. A change costs O(log n) and leaves the former
- * map as it was.
+ * A persistent map of bounded size with first-in, first-out eviction. A change costs O(log n) and returns a new map; the
+ * previous map is unchanged.
  */
 export type BoundedMap<K, V> = {
   readonly entries: PersistentMap<K, V>;
-  /** Every key once, in the order in which the keys came. */
+  /** Every key once, in insertion order. */
   readonly order: List<K>;
 };
 
-/** A map after a change, and the entries that had to be forgotten for it. */
+/** The map after a change, and the entries evicted by it. */
 export type BoundedChange<K, V> = {
   readonly map: BoundedMap<K, V>;
   readonly evicted: readonly (readonly [K, V])[];
@@ -19,14 +19,17 @@
 
 export const emptyBoundedMap = <K, V>(): BoundedMap<K, V> => ({ entries: emptyMap<K, V>(), order: List<K>() });
 
-/** Sets an entry; a key that is there already keeps its place in the order. */
+/**
+ * Sets an entry. A new key is appended to the order and evicts the oldest key when the map is at its capacity; an existing
+ * key keeps its position.
+ */
 export const remember = <K, V>(map: BoundedMap<K, V>, key: K, value: V, capacity: number): BoundedChange<K, V> => {
   const isKnown = map.entries.has(key);
-  const longerMap: BoundedMap<K, V> = {
+  const updatedMap: BoundedMap<K, V> = {
     entries: map.entries.set(key, value),
     order: isKnown ? map.order : map.order.push(key),
   };
-  return longerMap.order.size > capacity ? withoutOldest(longerMap) : { map: longerMap, evicted: [] };
+  return updatedMap.order.size > capacity ? withoutOldest(updatedMap) : { map: updatedMap, evicted: [] };
 };
 
 const withoutOldest = <K, V>(map: BoundedMap<K, V>): BoundedChange<K, V> => {
@@ -39,14 +42,14 @@
   };
 };
 
-/** All entries, oldest first. */
+/** All entries in insertion order, oldest first. */
 export const entriesInOrder = <K, V>(map: BoundedMap<K, V>): readonly (readonly [K, V])[] =>
   map.order.toArray().flatMap((key) => {
     const value = map.entries.get(key);
     return value === undefined ? [] : [[key, value] as const];
   });
 
-/** Builds a map of entries that are given oldest first. */
+/** Builds a map from entries in insertion order, oldest first; evicts none. */
 export const boundedMapOf = <K, V>(entries: readonly (readonly [K, V])[]): BoundedMap<K, V> =>
   entries.reduce<BoundedMap<K, V>>(
     (map, [key, value]) => ({ entries: map.entries.set(key, value), order: map.order.push(key) }),
--- a/src/common/chance.ts
+++ b/src/common/chance.ts
@@ -1,6 +1,7 @@
-/** A seeded stream of draws from 0 up to 1. */
+/** A pseudo-random number generator: each call returns the next number in [0, 1). */
 export type Chance = () => number;
 
+/** The mulberry32 generator: the same seed yields the same sequence. */
 export const seededChance = (seed: number): Chance => {
   let state = seed >>> 0;
   return () => {
@@ -11,6 +12,8 @@
   };
 };
 
+/** A random integer in [0, end). */
 export const wholeBelow = (chance: Chance, end: number): number => Math.floor(chance() * end);
 
+/** A random item of a list; undefined if the list is empty. */
 export const oneOf = <T>(chance: Chance, items: readonly T[]): T | undefined => items[wholeBelow(chance, items.length)];
--- a/src/common/checked.ts
+++ b/src/common/checked.ts
@@ -7,7 +7,7 @@
     ? [{ path: error.path ?? '', message: error.message }]
     : error.inner.flatMap((innerError) => faultsOf(innerError));
 
-/** Checks a value against a schema and lists every fault by path. */
+/** Validates a value against a schema, without coercion; on failure lists every fault with its path. */
 export const checked = <T>(schema: Schema<T>, value: unknown): Either<readonly Fault[], T> => {
   try {
     return Right(schema.validateSync(value, { abortEarly: false, strict: true }));
--- a/src/common/clock/abort-after.ts
+++ b/src/common/clock/abort-after.ts
@@ -1,11 +1,11 @@
 import type { Micros } from '../micros.js';
 import type { Clock } from './clock.js';
 
-/** A signal that aborts a call, and what takes that back once the call has ended. */
+/** A signal that aborts a call when its timer expires, and a function that cancels the timer. */
 export type AbortTimer = { readonly signal: AbortSignal; readonly takeBack: () => void };
 
-/** Aborts after a span of the clock; what has arrived by then is heard first, unlike with the runtime's own time-out. */
-export const abortAfter = (clock: Clock, span: Micros): AbortTimer => {
-  const aborter = new AbortController();
-  return { signal: aborter.signal, takeBack: clock.after(span, () => aborter.abort()) };
+/** Aborts after a duration. Unlike with AbortSignal.timeout, input that arrived before the deadline is processed first. */
+export const abortAfter = (clock: Clock, delayUs: Micros): AbortTimer => {
+  const controller = new AbortController();
+  return { signal: controller.signal, takeBack: clock.after(delayUs, () => controller.abort()) };
 };
--- a/src/common/clock/clock.ts
+++ b/src/common/clock/clock.ts
@@ -1,8 +1,8 @@
 import type { Micros } from '../micros.js';
 
-/** Time as a task knows it: a steady line that never jumps with the wall clock, and calls back after a span. */
+/** A monotonic clock with timers; unaffected by changes of the wall clock. */
 export type Clock = {
   readonly now: () => Micros;
-  /** Calls back once; what it returns takes that back. */
-  readonly after: (span: Micros, act: () => void) => () => void;
+  /** Calls `act` once after the delay; the returned function cancels the timer. */
+  readonly after: (delayUs: Micros, act: () => void) => () => void;
 };
--- a/src/common/clock/every.ts
+++ b/src/common/clock/every.ts
@@ -2,8 +2,8 @@
 import type { Clock } from './clock.js';
 
 /**
- * How long until the next whole multiple of a span on the steady clock. A moment just before one, where a timer fired
- * a little early, counts as the multiple itself.
+ * The time until the next whole multiple of an interval on the monotonic clock. If less than half an interval is left, the
+ * multiple after that is used, since a timer that fired slightly early must not fire twice for one multiple.
  */
 export const untilNextMultiple = (nowUs: Micros, span: Micros): Micros => {
   const leftUs = span - (nowUs % span);
@@ -11,8 +11,8 @@
 };
 
 /**
- * Calls back again and again, at whole multiples of a span on the steady clock; what it returns ends that. All periodic
- * work of one process thus falls on the same moments: every wake-up of a process costs processor time of its own.
+ * Calls `act` at every whole multiple of an interval on the monotonic clock, until the returned function is called. The
+ * alignment makes the periodic work of a process coincide, since each wake-up of the process costs processor time.
  */
 export const every = (clock: Clock, span: Micros, act: () => void): (() => void) => {
   let isOver = false;
--- a/src/common/clock/paused.ts
+++ b/src/common/clock/paused.ts
@@ -1,8 +1,8 @@
 import type { Micros } from '../micros.js';
 import type { Clock } from './clock.js';
 
-/** Waits for a while. */
-export const paused = (clock: Clock, span: Micros): Promise<void> =>
+/** Resolves after the delay. */
+export const paused = (clock: Clock, delayUs: Micros): Promise<void> =>
   new Promise((resolve) => {
-    clock.after(span, resolve);
+    clock.after(delayUs, resolve);
   });
--- a/src/common/clock/time-bound.ts
+++ b/src/common/clock/time-bound.ts
@@ -1,25 +1,28 @@
 import type { Micros } from '../micros.js';
 
-/** Another time line as far as it is certain: it had come at least so far when the own steady clock showed `atUs`. */
+/** A lower bound of another clock: it showed at least `reachedUs` when the local monotonic clock showed `atUs`. */
 export type TimeBound = {
   readonly reachedUs: Micros;
   readonly atUs: Micros;
 };
 
-/** Steady clocks are trusted to run fast by no more than this, in parts of a million. */
+/** The assumed maximum rate error of a monotonic clock that runs fast, in parts per million. */
 export const mostDrift = 500;
 
-/** Spans in which a process did not run, or its clock jumped, are not told apart; none so long counts as time. */
+/**
+ * A longer step of the clock does not count as elapsed time: a process that was suspended can not be told from a clock that
+ * jumped.
+ */
 export const longestStepUs: Micros = 700_000;
 
-/** How far the time line has come at least at a later moment. */
+/** The lower bound of the other clock at a later local time. */
 export const boundAt = (bound: TimeBound, atUs: Micros): Micros =>
   bound.reachedUs + Math.floor(((atUs - bound.atUs) * (1_000_000 - mostDrift)) / 1_000_000);
 
-/** The greater of what is known and what is heard; it never goes back. */
+/** The bound after a report that the other clock has reached `reachedUs`; the bound never decreases. */
 export const raisedBound = (bound: TimeBound | undefined, reachedUs: Micros, atUs: Micros): TimeBound =>
   bound !== undefined && boundAt(bound, atUs) >= reachedUs ? bound : { reachedUs, atUs };
 
-/** The bound when a span up to now does not count. */
+/** The bound after `spanUs` of local time that must not count as elapsed. */
 export const withoutSpan = (bound: TimeBound | undefined, spanUs: Micros): TimeBound | undefined =>
   bound === undefined ? undefined : { ...bound, atUs: bound.atUs + spanUs };
--- a/src/common/clock/within.ts
+++ b/src/common/clock/within.ts
@@ -1,11 +1,11 @@
 import type { Micros } from '../micros.js';
 import type { Clock } from './clock.js';
 
-/** What a promise comes to within a span; nothing when it takes longer. */
-export const within = <T>(clock: Clock, promise: Promise<T>, span: Micros): Promise<T | undefined> => {
+/** Resolves or rejects as the promise does; resolves to undefined if it takes longer than the timeout. */
+export const within = <T>(clock: Clock, promise: Promise<T>, timeoutUs: Micros): Promise<T | undefined> => {
   let takeBack = (): void => undefined;
-  const passed = new Promise<undefined>((resolve) => {
-    takeBack = clock.after(span, () => resolve(undefined));
+  const expired = new Promise<undefined>((resolve) => {
+    takeBack = clock.after(timeoutUs, () => resolve(undefined));
   });
-  return Promise.race([promise, passed]).finally(() => takeBack());
+  return Promise.race([promise, expired]).finally(() => takeBack());
 };
--- a/src/common/error-type.ts
+++ b/src/common/error-type.ts
@@ -1,4 +1,4 @@
-/** The types of error that callers, operators and engineers meet. */
+/** The error codes in responses to clients and operators, in log lines and in command output. */
 export type ErrorType =
   | 'bad-exchange'
   | 'unknown-kind'
--- a/src/common/fault.ts
+++ b/src/common/fault.ts
@@ -1,4 +1,4 @@
-/** One fault of a checked document, named by the path at which it stands. */
+/** One validation error of a document, with the path of the offending field. */
 export type Fault = {
   readonly path: string;
   readonly message: string;
--- a/src/common/json.ts
+++ b/src/common/json.ts
@@ -2,9 +2,9 @@
 import { messageOf, typedError, type TypedError } from './typed-error.js';
 import type { ErrorType } from './error-type.js';
 
-/** Parses JSON text, or says why it is none. */
+/** Parses JSON text; an error of the given type carries the message of the parser. */
 export const parseJson = (text: string, type: ErrorType): Either<TypedError, unknown> =>
   Either.encase((): unknown => {
-    const parsedValue: unknown = JSON.parse(text);
-    return parsedValue;
-  }).mapLeft((thrown) => typedError(type, `not JSON: ${messageOf(thrown)}`));
+    const value: unknown = JSON.parse(text);
+    return value;
+  }).mapLeft((thrown) => typedError(type, `invalid JSON: ${messageOf(thrown)}`));
--- a/src/common/least-keys.ts
+++ b/src/common/least-keys.ts
@@ -1,13 +1,13 @@
 import type { PersistentMap } from './persistent-map.js';
 
-/** The keys of the entries with the least figures, so many of them. */
+/** The keys of the `count` entries with the lowest rank, in ascending order of rank. */
 export const leastKeys = <K, V>(
   entries: PersistentMap<K, V>,
   count: number,
-  figureOf: (value: V) => number,
+  rankOf: (value: V) => number,
 ): readonly K[] =>
   [...entries]
-    .map(([key, value]) => ({ key, figure: figureOf(value) }))
-    .sort((left, right) => left.figure - right.figure)
+    .map(([key, value]) => ({ key, rank: rankOf(value) }))
+    .sort((left, right) => left.rank - right.rank)
     .slice(0, count)
     .map(({ key }) => key);
--- a/src/common/micros.ts
+++ b/src/common/micros.ts
@@ -1,12 +1,13 @@
-/** A moment or a length of time in whole microseconds. */
+/** A point in time or a duration, in whole microseconds. */
 export type Micros = number;
 
 const nanosPerMicro = 1000n;
 
-/** The process's monotonic time line; it never jumps with the wall clock. */
+/** The monotonic time of this process; unaffected by changes of the wall clock. */
 export const steadyNow = (): Micros => Number(process.hrtime.bigint() / nanosPerMicro);
 
-export const toMillis = (span: Micros): number => Math.max(0, Math.ceil(span / 1000));
+/** Milliseconds for a timer, rounded up so that it does not fire early; never negative. */
+export const toMillis = (durationUs: Micros): number => Math.max(0, Math.ceil(durationUs / 1000));
 
 /** Whole seconds for a Retry-After header, at least one. */
-export const toRetrySeconds = (span: Micros): number => Math.max(1, Math.ceil(span / 1_000_000));
+export const toRetrySeconds = (durationUs: Micros): number => Math.max(1, Math.ceil(durationUs / 1_000_000));
--- a/src/common/persistent-map.ts
+++ b/src/common/persistent-map.ts
@@ -1,9 +1,9 @@
 import { Map as HashMap, OrderedMap } from 'immutable';
 
-/** A map whose changes make a new map and share what stays; its older forms stay as they are. */
+/** An immutable map with structural sharing: a change returns a new map and leaves the previous one unchanged. */
 export type PersistentMap<K, V> = HashMap<K, V>;
 
 export const emptyMap = <K, V>(): PersistentMap<K, V> => HashMap<K, V>();
 
-/** One that is walked in the order in which its keys came. */
+/** An empty map that iterates in insertion order. */
 export const emptyOrderedMap = <K, V>(): PersistentMap<K, V> => OrderedMap<K, V>();
--- a/src/disk/data-folder.ts
+++ b/src/disk/data-folder.ts
@@ -1,27 +1,29 @@
-/** A file of a data folder. */
+/** An open file of a data folder. */
 export type DataFile = {
-  /** All of its bytes. */
+  /** Reads the whole file. */
   readonly read: () => Promise<Buffer>;
-  /** Writes all bytes, or fails. */
+  /** Writes all of the bytes at the offset; rejects if that fails, possibly after a partial write. */
   readonly write: (offset: number, bytes: Uint8Array) => Promise<void>;
+  /** Makes the writes so far durable. */
   readonly sync: () => Promise<void>;
   readonly close: () => Promise<void>;
 };
 
 /**
- * The folder of a process's data. A file that was made survives a loss of power only once the folder was synced, whatever
- * was synced of the file itself.
+ * The data folder of a process. A new file survives a power failure only after the folder itself has been synced, even if the
+ * contents of the file were synced before.
  */
 export type DataFolder = {
-  /** Makes the folder where it is missing. */
+  /** Creates the folder, and its missing parents, unless it exists. */
   readonly make: () => Promise<void>;
-  /** The sizes of its files, by name. */
+  /** The file sizes in bytes, by file name. */
   readonly sizes: () => Promise<ReadonlyMap<string, number>>;
-  /** Opens a file that is there. */
+  /** Opens an existing file for reading and writing. */
   readonly open: (name: string) => Promise<DataFile>;
-  /** Makes a file, or empties it. */
+  /** Creates a file, or truncates an existing one. */
   readonly create: (name: string) => Promise<DataFile>;
+  /** Makes created files durable as entries of the folder. */
   readonly sync: () => Promise<void>;
-  /** The path of a file, for errors. */
+  /** The path of a file, for error messages. */
   readonly pathOf: (name: string) => string;
 };
--- a/src/disk/disk-ring.ts
+++ b/src/disk/disk-ring.ts
@@ -5,20 +5,24 @@
 import type { RingFile } from './ring-file.js';
 import { encodeMark, markOffsetOf } from './synced-mark.js';
 
-/** What a ring gave back when it was opened: a snapshot and the records after it. */
+/** The content recovered when a ring was opened: the latest snapshot, and the records appended after it. */
 export type Recovered = {
   readonly snapshot: Buffer | undefined;
   readonly records: readonly Buffer[];
-  /** The files in which an interrupted rotation was found and cleared. */
+  /** The names of the files that held an interrupted rotation and were cleared. */
   readonly interrupted: readonly string[];
 };
 
-/** A ring of preallocated files. A record is kept once `append` has ended. */
+/**
+ * A write-ahead log over a ring of preallocated files. Each rotation writes a snapshot to the next file, which starts a new
+ * generation and replaces all older files. A record is durable once `append` has resolved to Right.
+ */
 export type DiskRing = {
   readonly recovered: Recovered;
   /**
-   * Appends and syncs one record; when the file is full the snapshot, which holds the record, opens the next file. A refusal
-   * keeps nothing and may pass: the same record may be appended again.
+   * Appends and syncs one record. If the file is full, rotates to the next file instead; the snapshot written there must
+   * include the record. A `disk-refusal` error leaves the ring unchanged and may be temporary: the same
+   * record may be appended again.
    */
   readonly append: (record: Uint8Array, snapshot: () => Uint8Array) => Promise<Either<TypedError, void>>;
   readonly close: () => Promise<void>;
@@ -29,9 +33,9 @@
 const isWhole = (openFile: OpenFile): openFile is OpenFile<WholeContent> => openFile.content.type === 'whole';
 
 /**
- * The file to go on with: the newest one that is whole. Writing to another file begins only once the newest one is whole and
- * synced, and then all that was acknowledged stands in the newest one. So whatever does not hold in a file of an
- * older generation is what an interrupted rotation left there. In the newest generation itself it is damage.
+ * The whole file of the newest generation, to which the ring appends. A rotation to another file begins only when the newest
+ * file is whole and synced, and that file then holds everything that was acknowledged. Invalid content in a file of an older
+ * generation is therefore the rest of an interrupted rotation; in the newest generation it is damage.
  */
 const newestOf = (openFiles: readonly OpenFile[]): Either<TypedError, OpenFile<WholeContent> | undefined> => {
   const [newestWhole] = openFiles
@@ -42,7 +46,10 @@
     if (content.type === 'damaged' && content.generation >= newestGeneration) return Left(content.error);
     if (content.type === 'unfinished' && content.generation > newestGeneration + 1)
       return Left(
-        typedError('damaged-disk', `no whole snapshot is left: generation ${content.generation} does not hold`),
+        typedError(
+          'damaged-disk',
+          `no complete snapshot found: the snapshot of generation ${content.generation} is invalid`,
+        ),
       );
   }
   return Right(newestWhole);
@@ -55,19 +62,19 @@
   for (const [index, file] of files.entries()) {
     const content = readRingFile(await file.read(), file.name ?? `ring file ${index}`);
     if (content.isLeft()) return Left(content.extract());
-    content.ifRight((readContent) => openFiles.push({ file, content: readContent }));
+    content.ifRight((fileContent) => openFiles.push({ file, content: fileContent }));
   }
   return Right(openFiles);
 };
 
-/** What an interrupted rotation left in a file: a later one must not complete it. */
+/** Whether a file holds the rest of an interrupted rotation, which a later rotation must not complete. */
 const isInterrupted = ({ content }: OpenFile): boolean => content.type === 'unfinished' || content.type === 'damaged';
 
 /**
- * Makes durable what was found. A process that was killed leaves writes that are read back but never synced: a machine that
- * answers for such a record and then loses power would have acknowledged what is gone. And an interrupted rotation may leave
- * a snapshot without its head: the head of the next rotation, which has the same generation, would bring that snapshot back,
- * without what was acknowledged since.
+ * Makes the recovered state durable before it is used. A killed process leaves writes that can be read back but were never
+ * synced: a node that acknowledges such a record and then loses power has lost an acknowledged record. An interrupted rotation
+ * can leave a snapshot without its header: the header of the next rotation, which has the same generation, would make that
+ * snapshot valid again, without the records acknowledged since. Such files are therefore cleared.
  */
 const makeDurable = async (
   newestFile: OpenFile | undefined,
@@ -85,7 +92,7 @@
   }
 };
 
-/** The ring whose newest file is this one, or that is empty. */
+/** The ring that appends to the given newest file; without one the ring is empty, and the first append starts a file. */
 const ringFrom = (
   files: readonly RingFile[],
   newestFile: OpenFile<WholeContent> | undefined,
@@ -103,7 +110,7 @@
     const nextIndex = (currentFile === undefined ? 0 : files.indexOf(currentFile) + 1) % files.length;
     const nextFile = files[nextIndex];
     if (nextFile === undefined || firstRecordOffset + paddedLength(snapshot.length) > nextFile.size)
-      return Left(typedError('disk-error', `a snapshot of ${snapshot.length} bytes does not fit into a ring file`));
+      return Left(typedError('disk-error', `a snapshot of ${snapshot.length} bytes exceeds the size of a ring file`));
     const nextGeneration = generation + 1;
     await nextFile.write(0, Buffer.alloc(firstRecordOffset));
     await nextFile.write(0, encodeRecord(nextGeneration, 0, ringHead));
@@ -146,8 +153,9 @@
 };
 
 /**
- * Opens a ring over its files, and recovers what was synced. All that it gives back is durable; files of an interrupted
- * rotation are cleared, others keep their bytes.
+ * Opens a ring over its files and recovers every synced record. Everything recovered is durable. Files of an interrupted
+ * rotation are cleared; all other files are left unchanged. Fails with `damaged-disk` if synced content is missing or invalid,
+ * and with `disk-refusal` if the disk fails.
  */
 export const openDiskRing = async (files: readonly RingFile[]): Promise<Either<TypedError, DiskRing>> => {
   const read = await readFiles(files);
--- a/src/disk/disk-trouble.ts
+++ b/src/disk/disk-trouble.ts
@@ -3,7 +3,7 @@
 import type { Micros } from '../common/micros.js';
 import type { RingFile } from './ring-file.js';
 
-/** What a rehearsal makes of a disk: slower syncs, or writes that fail as on a full one. */
+/** A disk fault that a rehearsal injects: slow syncs, or writes that fail as on a full disk. */
 export type DiskTrouble = {
   readonly delayUs: Micros;
   readonly fails: boolean;
@@ -11,11 +11,11 @@
 
 export const noTrouble: DiskTrouble = { delayUs: 0, fails: false };
 
-/** A file whose disk is in trouble whenever `trouble` says so. */
+/** Wraps a file so that its writes and syncs suffer the fault that `trouble` returns at the time of the call. */
 export const troubledFile = (file: RingFile, trouble: () => DiskTrouble): RingFile => ({
   ...file,
   write: (offset, bytes) =>
-    trouble().fails ? Promise.reject(new Error('ENOSPC: no space is left')) : file.write(offset, bytes),
+    trouble().fails ? Promise.reject(new Error('ENOSPC: no space left on device')) : file.write(offset, bytes),
   sync: async () => {
     const { delayUs } = trouble();
     if (delayUs > 0) await paused(steadyClock, delayUs);
--- a/src/disk/node-folder.ts
+++ b/src/disk/node-folder.ts
@@ -11,24 +11,24 @@
   }
 };
 
-/** One call may write less than it is given, as on a disk that fills up. */
+/** Writes all of the bytes; a single write call may be partial, for example when the disk fills up. */
 const writeWhole = async (handle: FileHandle, offset: number, bytes: Uint8Array): Promise<void> => {
   let written = 0;
   while (written < bytes.length) {
     const { bytesWritten } = await handle.write(bytes, written, bytes.length - written, offset + written);
-    if (bytesWritten === 0) throw new Error('the disk takes no more bytes');
+    if (bytesWritten === 0) throw new Error('write failed: the disk accepted 0 bytes');
     written += bytesWritten;
   }
 };
 
-/** One call may read less than is there. */
+/** Reads all of the bytes; a single read call may be partial. */
 const readWhole = async (handle: FileHandle): Promise<Buffer> => {
   const { size } = await handle.stat();
   const bytes = Buffer.alloc(size);
   let read = 0;
   while (read < size) {
     const { bytesRead } = await handle.read(bytes, read, size - read, read);
-    if (bytesRead === 0) throw new Error(`the file ends after ${read} of ${size} bytes`);
+    if (bytesRead === 0) throw new Error(`read failed: end of file after ${read} of ${size} bytes`);
     read += bytesRead;
   }
   return bytes;
@@ -41,11 +41,12 @@
   close: () => handle.close(),
 });
 
-/** Makes a folder and those above it that are missing, each synced into its parent. */
+/** Creates a folder and its missing parents, and syncs the parent of each so that the new entry is durable. */
 const makeFolder = async (path: string): Promise<void> => {
-  const firstMade = await mkdir(path, { recursive: true });
-  if (firstMade === undefined) return;
-  for (let made = path; made.length >= firstMade.length; made = dirname(made)) await syncFolder(dirname(made));
+  const firstCreated = await mkdir(path, { recursive: true });
+  if (firstCreated === undefined) return;
+  for (let created = path; created.length >= firstCreated.length; created = dirname(created))
+    await syncFolder(dirname(created));
 };
 
 const sizesIn = async (path: string): Promise<ReadonlyMap<string, number>> => {
@@ -54,7 +55,7 @@
   return sizes;
 };
 
-/** The folder at a path of this machine. */
+/** A data folder in the local file system. */
 export const nodeFolder = (path: string): DataFolder => ({
   make: () => makeFolder(path),
   sizes: () => sizesIn(path),
--- a/src/disk/open-folder.ts
+++ b/src/disk/open-folder.ts
@@ -9,12 +9,13 @@
 
 const zeroChunk = Buffer.alloc(1 << 20);
 
+/** This file exists once all ring files have been created. */
 const readyMark = 'ring.ready';
 
 const ringFileNames = ({ files }: RingSizes): readonly string[] =>
   Array.from({ length: files }, (_, index) => `ring-${index}.bin`);
 
-/** Makes a file of zeros, so that no later write has to find room. */
+/** Creates a file of zeros and syncs it, so that later writes need no new disk space. */
 const preallocate = async (folder: DataFolder, name: string, size: number): Promise<void> => {
   const file = await folder.create(name);
   for (let offset = 0; offset < size; offset += zeroChunk.length)
@@ -24,8 +25,8 @@
 };
 
 /**
- * Makes the files of a ring, and then the mark that they are made. The folder is synced in between: whatever a loss of
- * power leaves, no mark is there without all files.
+ * Creates the files of a ring, and then the mark file. The folder is synced in between, so that after a power failure the mark
+ * never exists without all ring files.
  */
 const makeFiles = async (folder: DataFolder, sizes: RingSizes): Promise<void> => {
   for (const name of ringFileNames(sizes)) await preallocate(folder, name, sizes.fileBytes);
@@ -41,7 +42,7 @@
   for (const file of files) await file.close();
 };
 
-/** Opens the files of a ring; one that is missing or of another size is damage. */
+/** Opens the files of a ring; fails with `damaged-disk` if one is missing or has another size. */
 const openFiles = async (folder: DataFolder, sizes: RingSizes): Promise<Either<TypedError, readonly RingFile[]>> => {
   const found = await folder.sizes();
   const names = ringFileNames(sizes);
@@ -50,7 +51,7 @@
     return Left(
       typedError(
         'damaged-disk',
-        `${folder.pathOf(damagedName)} has ${found.get(damagedName) ?? 0} bytes and should have ${sizes.fileBytes}`,
+        `${folder.pathOf(damagedName)} has ${found.get(damagedName) ?? 0} bytes, expected ${sizes.fileBytes}`,
       ),
     );
   const files: RingFile[] = [];
@@ -64,8 +65,9 @@
 };
 
 /**
- * Opens the ring in a data folder, making its files first where they were never made whole. The folder is synced each time: a
- * process that was killed may have left the mark without a sync, and without the mark the files would be made anew.
+ * Opens the ring in a data folder; creates its files first unless the mark shows that all of them exist. The folder is synced
+ * at every start: a killed process may have left the mark unsynced, and if the mark were lost in a power failure, the next
+ * start would overwrite the files.
  */
 export const openRingIn = (
   folder: DataFolder,
@@ -88,7 +90,7 @@
     return fromPromise(Promise.resolve(ring));
   });
 
-/** The same, in the folder at a path of this machine. */
+/** Opens the ring in a folder of the local file system; see `openRingIn`. */
 export const openRingFolder = (
   path: string,
   sizes: RingSizes,
--- a/src/disk/read-file.ts
+++ b/src/disk/read-file.ts
@@ -11,31 +11,32 @@
 } from './record-format.js';
 import { readMark, type SyncedMark } from './synced-mark.js';
 
-/** Records of one generation, read from the start of a file. */
+/** The content of a file with a valid snapshot: the records of one generation up to the first invalid one. */
 export type WholeContent = {
   readonly type: 'whole';
   readonly generation: number;
-  /** The snapshot, and the records behind it. */
+  /** The snapshot, followed by the records appended after it. */
   readonly payloads: readonly Buffer[];
+  /** The offset of the next append. */
   readonly endOffset: number;
 };
 
-/** What one file of the ring holds. */
+/** The content of one ring file. */
 export type FileContent =
   | WholeContent
-  /** Nothing was ever written where a head or a snapshot begins, or it was cleared. */
+  /** The file was never written to, or it was cleared: the header and the start of the snapshot are zeros. */
   | { readonly type: 'blank' }
-  /** A rotation to this file was interrupted: no whole snapshot of the generation that its head names is in it. */
+  /** A rotation to this file was interrupted: it has no valid snapshot of the generation in its header. */
   | { readonly type: 'unfinished'; readonly generation: number }
-  /** Records of this generation were synced, and do not hold any more. */
+  /** Synced records of this generation are missing or invalid. */
   | { readonly type: 'damaged'; readonly generation: number; readonly error: TypedError };
 
-/** The head, the marks, and the head of the first record: without these bytes nothing in a file can be read back. */
+/** The file header, the marks, and the header of the first record; a file in which these bytes are cleared is blank. */
 export const startBytes = firstRecordOffset + recordHeadBytes;
 
 const damaged = (name: string, message: string): TypedError => typedError('damaged-disk', `${name}: ${message}`);
 
-/** Whether any whole record of this generation lies behind an offset, which a torn tail can not explain. */
+/** Whether a valid record of this generation follows the offset; a torn tail can not leave one. */
 const hasRecordBehind = (file: Buffer, offset: number, generation: number, sequence: number): boolean => {
   for (let probe = offset + alignBytes; probe + recordHeadBytes <= file.length; probe += alignBytes) {
     if (file.readUInt32LE(probe + 4) !== generation) continue;
@@ -46,13 +47,13 @@
 };
 
 /**
- * Whether the first slot is empty or holds part of a head, as after power was lost while it was written: its payload is
- * made of zeros and the head's own bytes, and nothing stands behind it. Anything else is a foreign file.
+ * Whether the first slot can be a header torn by a power failure: each byte is either zero or the expected byte of the header,
+ * and the bytes after the header are zero. Any other content was written by another program.
  */
 const mayBeUnfinishedHead = (file: Buffer): boolean =>
-  file.subarray(recordHeadBytes, headSlotBytes).every((byte, place) => byte === 0 || byte === (ringHead[place] ?? 0));
+  file.subarray(recordHeadBytes, headSlotBytes).every((byte, index) => byte === 0 || byte === (ringHead[index] ?? 0));
 
-/** The records of a generation, from the start of a file to the first one that does not hold. */
+/** The records of a generation, from the start of a file up to the first invalid one. */
 const recordsOf = (file: Buffer, generation: number): Pick<WholeContent, 'payloads' | 'endOffset'> => {
   const payloads: Buffer[] = [];
   let offset = firstRecordOffset;
@@ -65,21 +66,21 @@
   }
 };
 
-/** What a file without a whole head holds. */
+/** The content of a file without a valid header. */
 const readHeadless = (file: Buffer, name: string, mark: SyncedMark | undefined): Either<TypedError, FileContent> => {
   if (mark !== undefined)
     return Right({
       type: 'damaged',
       generation: mark.generation,
-      error: damaged(name, 'the head does not hold although records were synced'),
+      error: damaged(name, 'invalid file header although records were synced'),
     });
   if (file.subarray(0, startBytes).every((byte) => byte === 0)) return Right({ type: 'blank' });
   return mayBeUnfinishedHead(file)
     ? Right({ type: 'unfinished', generation: 0 })
-    : Left(damaged(name, 'it was not written by this program'));
+    : Left(damaged(name, 'not a ring file: unknown content in place of the file header'));
 };
 
-/** Why the records of a file are fewer than those that were synced; nothing where they may be all. */
+/** A description of lost synced records; undefined if no loss is found. */
 const lossOf = (
   file: Buffer,
   mark: SyncedMark | undefined,
@@ -88,15 +89,15 @@
 ): string | undefined => {
   const count = payloads.length;
   if (mark !== undefined && mark.generation === generation && mark.sequence >= count)
-    return `record ${count} does not hold although record ${mark.sequence} was synced`;
+    return `record ${count} is invalid although the records up to ${mark.sequence} were synced`;
   return hasRecordBehind(file, endOffset, generation, count)
-    ? `record ${count} does not hold although later records stand behind it`
+    ? `record ${count} is invalid although later records of the generation are valid`
     : undefined;
 };
 
 /**
- * Reads a file. A torn tail that was never synced is cut off. Whether damage matters depends on the other files of the
- * ring; a file of another program or format is an error in any case.
+ * Parses the content of a ring file. A torn tail that was never synced is dropped. The caller decides whether damage matters,
+ * which depends on the other files of the ring; a file of another program or format version is always an error.
  */
 export const readRingFile = (file: Buffer, name: string): Either<TypedError, FileContent> => {
   const head = decodeRecord(file, 0);
@@ -104,7 +105,7 @@
   if (head === undefined) return readHeadless(file, name, mark);
   if (!head.payload.equals(ringHead))
     return Left(
-      damaged(name, `its format is "${head.payload.toString('latin1')}" and should be "${ringHead.toString()}"`),
+      damaged(name, `unsupported format "${head.payload.toString('latin1')}", expected "${ringHead.toString()}"`),
     );
   const { generation } = head;
   const records = recordsOf(file, generation);
--- a/src/disk/record-format.ts
+++ b/src/disk/record-format.ts
@@ -1,25 +1,29 @@
 import { crc32 } from 'node:zlib';
 
-/** A record as it lies in a file: its place in the file's generation, and its bytes. */
+/** A record of a ring file: the generation of the file, its sequence number within that generation, and its payload. */
 export type DiskRecord = {
   readonly generation: number;
   readonly sequence: number;
   readonly payload: Buffer;
 };
 
+/** Payload length, generation, sequence number and CRC-32, four bytes each. */
 export const recordHeadBytes = 16;
-/** The slot of the head record at the start of a file. */
+/** The size of the file header at the start of a file. */
 export const headSlotBytes = 64;
+/** Records start at multiples of this. */
 export const alignBytes = 8;
-/** The head of a file: its first slot of 64 bytes, then two slots for the mark of what is synced. */
+/** After the file header (64 bytes) and two slots of 64 bytes for the synced mark. */
 export const firstRecordOffset = 192;
 
-/** What stands in the head of each ring file. The version changes with any change of the ring's or the records' form. */
+/** The payload of the file header. The number is the format version; it changes with any change of the on-disk format. */
 export const ringHead = Buffer.from('ledgehill ring 2');
 
+/** The size of a record on disk: header and payload, padded to the alignment. */
 export const paddedLength = (payloadLength: number): number =>
   Math.ceil((recordHeadBytes + payloadLength) / alignBytes) * alignBytes;
 
+/** Encodes a record with its checksum, padded to the alignment with zeros. */
 export const encodeRecord = (generation: number, sequence: number, payload: Uint8Array): Buffer => {
   const bytes = Buffer.alloc(paddedLength(payload.length));
   bytes.writeUInt32LE(payload.length, 0);
@@ -33,7 +37,7 @@
   return bytes;
 };
 
-/** The record at an offset, if all of it is there and its checksum holds. */
+/** The record at an offset; undefined if it is incomplete or its checksum does not match. */
 export const decodeRecord = (file: Buffer, offset: number): DiskRecord | undefined => {
   if (offset + recordHeadBytes > file.length) return undefined;
   const payloadLength = file.readUInt32LE(offset);
--- a/src/disk/ring-file.ts
+++ b/src/disk/ring-file.ts
@@ -1,7 +1,8 @@
-/** One preallocated file of the ring, as the ring needs it. */
+/** A preallocated file of the ring. */
 export type RingFile = {
-  /** Its path, for errors. */
+  /** The path, for error messages. */
   readonly name?: string;
+  /** In bytes; fixed. */
   readonly size: number;
   readonly read: () => Promise<Buffer>;
   readonly write: (offset: number, bytes: Uint8Array) => Promise<void>;
--- a/tests/disk/crash-images/crash-images.ts
+++ b/tests/disk/crash-images/crash-images.ts
@@ -7,108 +7,109 @@
 import { drawnWriteFates } from '../../../src/sim/disk/write-fate.js';
 
 /**
- * Opens what is left of a ring's files after its process was killed or its machine lost power, at any write or sync, again
- * and again: the second fault hits files that the first one has left. A ring must open, give back every record that was
- * acknowledged in order, and nothing that was never asked for.
+ * The result of a random crash test. The files of a ring are reopened after kills of the process and power failures at any
+ * write or sync, several times in a row, so that a crash also hits files left by an earlier crash. The ring must open and
+ * recover, in order, every acknowledged record and no record that was never appended.
  */
 export type CrashImages = { readonly images: number; readonly faults: readonly string[] };
 
 const fileBytes = 2_048;
 const ringFiles = 2;
-const mostOperationsPerLife = 160;
-const mostPaddingBytes = 350;
-const livesPerSession = 6;
-const faultsNamed = 5;
+const maxOperationsPerProcess = 160;
+const maxPaddingBytes = 350;
+const processesPerSession = 6;
+const maxReportedFaults = 5;
 
-/** A record or a snapshot: its number, after padding of any length. */
+/** A record or a snapshot: its number, after padding of a random length. */
 const encodeNumber = (chance: Chance, number: number): Buffer =>
-  Buffer.from(`${'x'.repeat(wholeBelow(chance, mostPaddingBytes))}${number}`);
+  Buffer.from(`${'x'.repeat(wholeBelow(chance, maxPaddingBytes))}${number}`);
 
 const numberOf = (bytes: Buffer): number => Number(bytes.toString().replace(/^x*/, ''));
 
 const recoveredNumbers = ({ recovered }: DiskRing): readonly number[] =>
   [...(recovered.snapshot === undefined ? [] : [recovered.snapshot]), ...recovered.records].map(numberOf);
 
-/** When a process ends: at an operation, or in the sync of a rotation, which few operations are. */
-type LifeEnd =
+/** When a process is killed: at an operation, or in the sync of a rotation, since few random operations are one. */
+type KillPoint =
   { readonly type: 'operation'; readonly number: number } | { readonly type: 'rotation'; readonly number: number };
 
-const drawnEnd = (chance: Chance): LifeEnd =>
+const randomKillPoint = (chance: Chance): KillPoint =>
   chance() < 0.5
-    ? { type: 'operation', number: 1 + wholeBelow(chance, mostOperationsPerLife) }
+    ? { type: 'operation', number: 1 + wholeBelow(chance, maxOperationsPerProcess) }
     : { type: 'rotation', number: 1 + wholeBelow(chance, 2) };
 
-/** The process ends in the middle of what it does: from a certain operation on, none has an effect. */
-const filesUntil = (memory: MemoryFiles, end: LifeEnd): readonly RingFile[] => {
+/** Files whose process is killed: from the kill point on, no operation has an effect. */
+const filesKilledAt = (memory: MemoryFiles, killPoint: KillPoint): readonly RingFile[] => {
   let operations = 0;
   let rotations = 0;
   let rotating: RingFile | undefined;
-  const isOver = (): boolean => (end.type === 'operation' ? operations : rotations) >= end.number;
-  const orEnded = <T>(operate: () => Promise<T>): Promise<T> =>
-    isOver() ? Promise.reject(new Error('the process has ended')) : operate();
+  const isKilled = (): boolean => (killPoint.type === 'operation' ? operations : rotations) >= killPoint.number;
+  const unlessKilled = <T>(operate: () => Promise<T>): Promise<T> =>
+    isKilled() ? Promise.reject(new Error('the process was killed')) : operate();
   return memory.files.map((file) => ({
     ...file,
     write: (offset, bytes) => {
       operations += 1;
       if (offset === firstRecordOffset) rotating = file;
-      return orEnded(() => file.write(offset, bytes));
+      return unlessKilled(() => file.write(offset, bytes));
     },
     sync: () => {
       operations += 1;
       if (rotating === file) rotations += 1;
       rotating = undefined;
-      return orEnded(file.sync);
+      return unlessKilled(file.sync);
     },
   }));
 };
 
-/** How the records that came back differ from those that were acknowledged, and from those asked for. */
-const faultOf = (numbers: readonly number[], acknowledged: number, asked: number): string | undefined => {
+/** The first violation by the recovered records, given the last acknowledged and the last appended record; or undefined. */
+const faultOf = (numbers: readonly number[], acknowledged: number, appended: number): string | undefined => {
   const newest = numbers.at(-1) ?? 0;
-  if (newest < acknowledged) return `record ${acknowledged} was acknowledged, ${newest} is the newest that came back`;
-  if (newest > asked) return `record ${newest} came back, which was never asked for`;
-  return numbers.some((number, place) => place > 0 && number !== (numbers[place - 1] ?? 0) + 1)
-    ? `the records that came back are not in order: ${numbers.join(' ')}`
+  if (newest < acknowledged)
+    return `record ${acknowledged} was acknowledged, but the newest recovered record is ${newest}`;
+  if (newest > appended) return `record ${newest} was recovered, but never appended`;
+  return numbers.some((number, index) => index > 0 && number !== (numbers[index - 1] ?? 0) + 1)
+    ? `the recovered records are not in order: ${numbers.join(' ')}`
     : undefined;
 };
 
-/** A ring whose process ended while it opened is no fault. */
+/** A failed opening is a fault unless the process was killed during it. */
 const openingFault = ({ type, message }: TypedError): string | undefined =>
   type === 'disk-refusal' ? undefined : message.replace(/\d+/g, 'N');
 
-/** Appends numbers behind the newest one until the process ends; gives the one that was not acknowledged. */
-const appendUntilEnded = async (ring: DiskRing, chance: Chance, newest: number): Promise<number> => {
+/** Appends the numbers after `newest` until the process is killed; returns the one that was not acknowledged. */
+const appendUntilKilled = async (ring: DiskRing, chance: Chance, newest: number): Promise<number> => {
   for (let number = newest + 1; ; number += 1) {
     const record = encodeNumber(chance, number);
-    const kept = await ring.append(record, () => encodeNumber(chance, number));
-    if (kept.isLeft()) return number;
+    const result = await ring.append(record, () => encodeNumber(chance, number));
+    if (result.isLeft()) return number;
   }
 };
 
-/** The lives of one ring's process: each appends for a while and ends at a random operation. */
-const playSession = async (chance: Chance, meet: (fault: string | undefined) => void): Promise<void> => {
+/** Runs several processes in turn on the files of one ring; each appends until it is killed at a random point. */
+const playSession = async (chance: Chance, report: (fault: string | undefined) => void): Promise<void> => {
   let memory = openMemoryFiles(ringFiles, fileBytes);
   let acknowledged = 0;
-  let asked = 0;
-  for (let life = 0; life < livesPerSession; life += 1) {
-    const opened = await openDiskRing(filesUntil(memory, drawnEnd(chance)));
+  let appended = 0;
+  for (let count = 0; count < processesPerSession; count += 1) {
+    const opened = await openDiskRing(filesKilledAt(memory, randomKillPoint(chance)));
     const fault = opened.caseOf({
       Left: openingFault,
-      Right: (ring) => faultOf(recoveredNumbers(ring), acknowledged, asked),
+      Right: (ring) => faultOf(recoveredNumbers(ring), acknowledged, appended),
     });
-    meet(fault);
+    report(fault);
     if (fault !== undefined) return;
     if (opened.isRight()) {
       const ring = opened.unsafeCoerce();
       acknowledged = recoveredNumbers(ring).at(-1) ?? 0;
-      asked = await appendUntilEnded(ring, chance, acknowledged);
-      acknowledged = Math.max(acknowledged, asked - 1);
+      appended = await appendUntilKilled(ring, chance, acknowledged);
+      acknowledged = Math.max(acknowledged, appended - 1);
     }
     if (chance() < 0.7) memory = memory.afterPowerLoss(drawnWriteFates(chance));
   }
 };
 
-/** Plays so many sessions with one seed; the faults are named with how often they came. */
+/** Runs `sessions` sessions with one seed; each distinct fault is reported once, with its count. */
 export const playCrashImages = async (seed: number, sessions: number): Promise<CrashImages> => {
   const chance = seededChance(seed);
   const counts = new Map<string, number>();
@@ -119,5 +120,5 @@
       if (fault !== undefined) counts.set(fault, (counts.get(fault) ?? 0) + 1);
     });
   const faults = [...counts].map(([fault, times]) => `${times} times: ${fault}`);
-  return { images, faults: faults.slice(0, faultsNamed) };
+  return { images, faults: faults.slice(0, maxReportedFaults) };
 };
--- a/tests/disk/crash-images/main.ts
+++ b/tests/disk/crash-images/main.ts
@@ -1,11 +1,11 @@
 import { Command } from 'commander';
 import { playCrashImages } from './crash-images.js';
 
-/** Opens images of a ring's files after crashes, for as many sessions as asked for. */
+/** Runs the random crash test of the disk ring from the command line. */
 const command = new Command('crash-images')
   .option('--seed <number>', 'first seed', '1')
-  .option('--seeds <number>', 'how many seeds', '1')
-  .option('--sessions <number>', 'sessions for each seed', '2000');
+  .option('--seeds <number>', 'number of seeds', '1')
+  .option('--sessions <number>', 'sessions per seed', '2000');
 
 const { seed, seeds, sessions } = command
   .parse()
--- a/tests/disk/disk-ring.test.ts
+++ b/tests/disk/disk-ring.test.ts
@@ -15,12 +15,12 @@
   return result.swap().toMaybe().extractNullable()?.type;
 };
 
-/** Everything that a ring gave back, as one text: the snapshot and the records after it, each a letter list. */
+/** The recovered snapshot and records of a ring, concatenated: the letters appended so far. */
 const textOf = (ring: DiskRing): string =>
   [ring.recovered.snapshot, ...ring.recovered.records].map((bytes) => bytes?.toString() ?? '').join('');
 
-const appendLetters = async (ring: DiskRing, kept: string, letters: string): Promise<string> => {
-  let text = kept;
+const appendLetters = async (ring: DiskRing, startText: string, letters: string): Promise<string> => {
+  let text = startText;
   for (const letter of letters) {
     text += letter;
     const snapshot = text;
@@ -31,7 +31,7 @@
 
 const alphabet = 'abcdefghijklmnopqrstuvwxyz'.repeat(8);
 
-test('every record is given back, over many turns of the ring', async () => {
+test('every record is recovered, also after many rotations through the ring', async () => {
   const memory = openMemoryFiles(3, fileBytes);
   const text = await appendLetters(await opened(memory), '', alphabet);
   assert.is(textOf(await opened(memory)), text);
@@ -39,53 +39,59 @@
   assert.is(textOf(await opened(memory)), longer);
 });
 
-test('power lost at any write loses only what was not synced', async () => {
+test('a power failure at any write loses only unsynced records', async () => {
   for (let failing = 1; failing < 120; failing += 1) {
     const memory = openMemoryFiles(3, fileBytes);
     memory.failFrom(failing);
     const ring = await opened(memory);
     const chance = seededChance(failing);
     let acknowledged = '';
-    let asked = '';
+    let appended = '';
     for (const letter of alphabet.slice(0, 60)) {
-      asked += letter;
-      const snapshot = asked;
+      appended += letter;
+      const snapshot = appended;
       if ((await ring.append(Buffer.from(letter), () => Buffer.from(snapshot))).isLeft()) break;
-      acknowledged = asked;
+      acknowledged = appended;
     }
-    const left = textOf(await opened(memory.afterPowerLoss(drawnWriteFates(chance))));
-    assert.ok(left === acknowledged || left === asked, `write ${failing}: ${acknowledged} was kept, ${left} came back`);
+    const recoveredText = textOf(await opened(memory.afterPowerLoss(drawnWriteFates(chance))));
+    assert.ok(
+      recoveredText === acknowledged || recoveredText === appended,
+      `write ${failing}: acknowledged ${acknowledged}, recovered ${recoveredText}`,
+    );
   }
 });
 
-test('power lost at any write while files are used again loses only what was not synced', async () => {
+test('a power failure at any write loses only unsynced records while ring files are reused', async () => {
   for (let failing = 1; failing < 420; failing += 1) {
     const memory = openMemoryFiles(2, fileBytes);
     memory.failFrom(failing);
     const ring = await opened(memory);
     const chance = seededChance(failing);
     let acknowledged = '';
-    let asked = '';
+    let appended = '';
     for (const letter of alphabet.slice(0, 180)) {
-      asked += letter;
-      const snapshot = asked;
+      appended += letter;
+      const snapshot = appended;
       if ((await ring.append(Buffer.from(letter), () => Buffer.from(snapshot))).isLeft()) break;
-      acknowledged = asked;
+      acknowledged = appended;
     }
-    const left = textOf(await opened(memory.afterPowerLoss(drawnWriteFates(chance))));
-    assert.ok(left === acknowledged || left === asked, `write ${failing}: ${acknowledged} was kept, ${left} came back`);
+    const recoveredText = textOf(await opened(memory.afterPowerLoss(drawnWriteFates(chance))));
+    assert.ok(
+      recoveredText === acknowledged || recoveredText === appended,
+      `write ${failing}: acknowledged ${acknowledged}, recovered ${recoveredText}`,
+    );
   }
 });
 
-test('a write that is refused for a while is kept once when it is asked for again, at any write', async () => {
+test('after temporary refusals at any write, a record that is appended again is recovered exactly once', async () => {
   for (let failing = 1; failing < 200; failing += 1) {
     const memory = openMemoryFiles(2, fileBytes);
     memory.failFrom(failing);
     const ring = await opened(memory);
-    let asked = '';
+    let appended = '';
     for (const letter of alphabet.slice(0, 90)) {
-      asked += letter;
-      const snapshot = asked;
+      appended += letter;
+      const snapshot = appended;
       const append = () => ring.append(Buffer.from(letter), () => Buffer.from(snapshot));
       for (let refusal = 0; refusal < 2; refusal += 1)
         if ((await append()).isRight()) break;
@@ -94,12 +100,12 @@
           assert.ok((await append()).isRight());
         }
     }
-    assert.is(textOf(await opened(memory)), asked, `write ${failing}`);
-    assert.is(textOf(await opened(memory.afterPowerLoss(allLost))), asked, `write ${failing}, then power lost`);
+    assert.is(textOf(await opened(memory)), appended, `write ${failing}`);
+    assert.is(textOf(await opened(memory.afterPowerLoss(allLost))), appended, `write ${failing}, then power failure`);
   }
 });
 
-test('a changed byte in anything that was synced is found, never passed over', async () => {
+test('a changed byte in any synced record is detected as damage', async () => {
   const chance = seededChance(7);
   for (let round = 0; round < 200; round += 1) {
     const memory = openMemoryFiles(2, fileBytes);
@@ -107,17 +113,17 @@
     await appendLetters(ring, '', alphabet.slice(0, 12));
     const bytes = [memory.bytesOf(0), memory.bytesOf(1)];
     const usedBytes = 12 * 24;
-    const place = firstRecordOffset + wholeBelow(chance, usedBytes);
+    const offset = firstRecordOffset + wholeBelow(chance, usedBytes);
     const target = bytes[0];
     if (target === undefined) throw new Error('no file');
-    const isPadding = (place - firstRecordOffset) % 24 >= 17;
-    target[place] = (target[place] ?? 0) ^ (1 + wholeBelow(chance, 255));
+    const isPadding = (offset - firstRecordOffset) % 24 >= 17;
+    target[offset] = (target[offset] ?? 0) ^ (1 + wholeBelow(chance, 255));
     const damaged = openMemoryFiles(2, fileBytes, bytes);
-    assert.is(await errorOf(damaged), isPadding ? undefined : 'damaged-disk', `byte ${place}`);
+    assert.is(await errorOf(damaged), isPadding ? undefined : 'damaged-disk', `byte ${offset}`);
   }
 });
 
-test('a newest file whose synced snapshot is gone is damage, not an older state', async () => {
+test('a newest file without its synced snapshot is damage; no older state is recovered', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   await appendLetters(await opened(memory), '', alphabet.slice(0, 45));
   const bytes = [memory.bytesOf(0), memory.bytesOf(1)];
@@ -125,7 +131,7 @@
   assert.is(await errorOf(openMemoryFiles(2, fileBytes, bytes)), 'damaged-disk');
 });
 
-test('a newest file whose head is gone is damage, and so is the only one', async () => {
+test('a newest file without its header is damage, also if it is the only file in use', async () => {
   for (const letters of [12, 45]) {
     const memory = openMemoryFiles(2, fileBytes);
     await appendLetters(await opened(memory), '', alphabet.slice(0, letters));
@@ -135,7 +141,7 @@
   }
 });
 
-test('a snapshot that does not fit is an error and changes nothing', async () => {
+test('a snapshot larger than a ring file is an error and leaves the ring unchanged', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   const ring = await opened(memory);
   const text = await appendLetters(ring, '', 'abc');
--- a/tests/disk/folder-crash.test.ts
+++ b/tests/disk/folder-crash.test.ts
@@ -8,55 +8,55 @@
 import { drawnWriteFates } from '../../src/sim/disk/write-fate.js';
 
 const sizes = { files: 2, fileBytes: 2_048 };
-/** Making a folder and opening it take fewer operations than this. */
-const mostOperations = 40;
-const livesPerSession = 5;
+/** Creating a folder and opening its ring takes fewer operations than this. */
+const maxOperations = 40;
+const processesPerSession = 5;
 const sessions = 400;
 const seeds = [1, 2, 3];
 
-/** The process ends: from a certain operation on, none has an effect. */
-const folderUntil = (folder: DataFolder, endsAt: number): DataFolder => {
+/** A folder whose process is killed: from operation `killAt` on, no operation has an effect. */
+const folderKilledAt = (folder: DataFolder, killAt: number): DataFolder => {
   let operations = 0;
-  const orEnded = <T>(operate: () => Promise<T>): Promise<T> => {
+  const unlessKilled = <T>(operate: () => Promise<T>): Promise<T> => {
     operations += 1;
-    return operations >= endsAt ? Promise.reject(new Error('the process has ended')) : operate();
+    return operations >= killAt ? Promise.reject(new Error('the process was killed')) : operate();
   };
-  const fileUntil = (file: DataFile): DataFile => ({
+  const fileKilledAt = (file: DataFile): DataFile => ({
     read: file.read,
-    write: (offset, bytes) => orEnded(() => file.write(offset, bytes)),
-    sync: () => orEnded(file.sync),
+    write: (offset, bytes) => unlessKilled(() => file.write(offset, bytes)),
+    sync: () => unlessKilled(file.sync),
     close: file.close,
   });
   return {
     ...folder,
-    create: (name) => orEnded(async () => fileUntil(await folder.create(name))),
-    open: async (name) => fileUntil(await folder.open(name)),
-    sync: () => orEnded(folder.sync),
+    create: (name) => unlessKilled(async () => fileKilledAt(await folder.create(name))),
+    open: async (name) => fileKilledAt(await folder.open(name)),
+    sync: () => unlessKilled(folder.sync),
   };
 };
 
 const newestOf = ({ recovered }: DiskRing): number =>
   Number((recovered.records.at(-1) ?? recovered.snapshot ?? Buffer.from('0')).toString());
 
-/** Appends numbers until the process ends; gives the newest one that was acknowledged. */
-const appendUntilEnded = async (ring: DiskRing, newest: number): Promise<number> => {
+/** Appends ascending numbers until the process is killed; returns the last acknowledged one. */
+const appendUntilKilled = async (ring: DiskRing, newest: number): Promise<number> => {
   for (let number = newest + 1; ; number += 1) {
     const bytes = Buffer.from(String(number));
     if ((await ring.append(bytes, () => bytes)).isLeft()) return number - 1;
   }
 };
 
-/** Lives of one process on one folder, each ended at a random operation, most of them with a loss of power. */
+/** Runs several processes in turn on one folder; each is killed at a random operation, mostly with a power failure. */
 const playSession = async (chance: Chance): Promise<void> => {
   let folder: MemoryFolder = openMemoryFolder();
   let acknowledged = 0;
-  for (let life = 0; life < livesPerSession; life += 1) {
-    const opened = await openRingIn(folderUntil(folder, 1 + wholeBelow(chance, mostOperations)), sizes).run();
+  for (let count = 0; count < processesPerSession; count += 1) {
+    const opened = await openRingIn(folderKilledAt(folder, 1 + wholeBelow(chance, maxOperations)), sizes).run();
     opened.ifLeft(({ type, message }) => assert.is.not(type, 'damaged-disk', message));
     if (opened.isRight()) {
       const ring = opened.unsafeCoerce();
-      assert.ok(newestOf(ring) >= acknowledged, `${acknowledged} was acknowledged, ${newestOf(ring)} came back`);
-      acknowledged = await appendUntilEnded(ring, newestOf(ring));
+      assert.ok(newestOf(ring) >= acknowledged, `acknowledged ${acknowledged}, recovered ${newestOf(ring)}`);
+      acknowledged = await appendUntilKilled(ring, newestOf(ring));
     }
     if (chance() < 0.7) folder = folder.afterPowerLoss(chance, drawnWriteFates(chance));
   }
@@ -65,9 +65,9 @@
   assert.ok(newestOf(last.unsafeCoerce()) >= acknowledged);
 };
 
-// Guards against: a core machine never starts again after power was lost while its data folder was being made, or loses
-// what it acknowledged because the folder was never synced.
-test('a data folder opens after any kill or loss of power while it is made, and holds what was acknowledged', async () => {
+// Guards against: a control node that can not start after a power failure during the creation of its data folder, or that
+// loses acknowledged records because the folder was never synced.
+test('after a kill or power failure at any point of its creation, a data folder opens with all acknowledged records', async () => {
   for (const seed of seeds) {
     const chance = seededChance(seed);
     for (let session = 0; session < sessions; session += 1) await playSession(chance);
--- a/tests/disk/open-folder.test.ts
+++ b/tests/disk/open-folder.test.ts
@@ -8,16 +8,16 @@
 
 const sizes = { files: 3, fileBytes: 1 << 20 };
 
-test('a folder is made once, keeps its records over openings, and a short file in it is damage', async () => {
+test('a folder is created once and recovers its records when reopened; a truncated file in it is damage', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'ledgehill-ring-'));
   try {
     const ring = (await openRingFolder(folder, sizes).run()).unsafeCoerce();
     (await ring.append(Buffer.from('one'), () => Buffer.from('one'))).unsafeCoerce();
     (await ring.append(Buffer.from('two'), () => Buffer.from('never'))).unsafeCoerce();
     await ring.close();
-    const again = (await openRingFolder(folder, sizes).run()).unsafeCoerce();
-    assert.equal([again.recovered.snapshot?.toString(), ...again.recovered.records.map(String)], ['one', 'two']);
-    await again.close();
+    const reopened = (await openRingFolder(folder, sizes).run()).unsafeCoerce();
+    assert.equal([reopened.recovered.snapshot?.toString(), ...reopened.recovered.records.map(String)], ['one', 'two']);
+    await reopened.close();
     truncateSync(join(folder, 'ring-1.bin'), 4096);
     const damaged = await openRingFolder(folder, sizes).run();
     assert.is(damaged.swap().toMaybe().extractNullable()?.type, 'damaged-disk');
@@ -26,19 +26,19 @@
   }
 });
 
-const inFolder = async (play: (folder: string) => Promise<void>): Promise<void> => {
+const withRingFolder = async (act: (folder: string) => Promise<void>): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'ledgehill-ring-'));
   try {
     const ring = (await openRingFolder(folder, sizes).run()).unsafeCoerce();
     (await ring.append(Buffer.from('one'), () => Buffer.from('one'))).unsafeCoerce();
     await ring.close();
-    await play(folder);
+    await act(folder);
   } finally {
     rmSync(folder, { recursive: true, force: true });
   }
 };
 
-/** Opens a folder that is damaged: the error names the file, and no byte of any file is changed. */
+/** Asserts that opening a damaged folder fails with an error that names the file, and leaves every file unchanged. */
 const assertDamaged = async (folder: string, fileName: string): Promise<void> => {
   const bytesBefore = readdirSync(folder).map((name) => readFileSync(join(folder, name)));
   const error = (await openRingFolder(folder, sizes).run()).swap().toMaybe().extractNullable();
@@ -50,20 +50,20 @@
   );
 };
 
-test('a foreign file of the same size in the place of any ring file is damage', () =>
-  inFolder(async (folder) => {
-    for (const place of [0, 1, 2]) {
-      const path = join(folder, `ring-${place}.bin`);
-      const former = readFileSync(path);
+test('a file of another program with the size of a ring file is damage, in place of any ring file', () =>
+  withRingFolder(async (folder) => {
+    for (const index of [0, 1, 2]) {
+      const path = join(folder, `ring-${index}.bin`);
+      const ringBytes = readFileSync(path);
       writeFileSync(path, Buffer.alloc(sizes.fileBytes, 'the text of another program\n'));
-      await assertDamaged(folder, `ring-${place}.bin`);
-      writeFileSync(path, former);
+      await assertDamaged(folder, `ring-${index}.bin`);
+      writeFileSync(path, ringBytes);
     }
     assert.ok((await openRingFolder(folder, sizes).run()).isRight());
   }));
 
 test('a truncated or missing file is damage', () =>
-  inFolder(async (folder) => {
+  withRingFolder(async (folder) => {
     truncateSync(join(folder, 'ring-0.bin'), 100);
     await assertDamaged(folder, 'ring-0.bin');
     rmSync(join(folder, 'ring-0.bin'));
@@ -71,7 +71,7 @@
   }));
 
 test('a folder of another format version is damage, and the error names both versions', () =>
-  inFolder(async (folder) => {
+  withRingFolder(async (folder) => {
     const path = join(folder, 'ring-0.bin');
     const bytes = readFileSync(path);
     bytes.fill(0, 0, 64);
--- a/tests/disk/power-loss.test.ts
+++ b/tests/disk/power-loss.test.ts
@@ -19,19 +19,19 @@
   (await ring.append(Buffer.from(text), () => Buffer.from(text))).unsafeCoerce();
 };
 
-/** Files whose syncs fail from a moment on, as where power is lost in them. */
-const filesWithoutSync = (memory: MemoryFiles, isLost: () => boolean): readonly RingFile[] =>
+/** Files whose syncs fail once `isLost` holds, as in a power failure during a sync. */
+const filesWithFailingSync = (memory: MemoryFiles, isLost: () => boolean): readonly RingFile[] =>
   memory.files.map((file) => ({
     ...file,
-    sync: () => (isLost() ? Promise.reject(new Error('power is lost')) : file.sync()),
+    sync: () => (isLost() ? Promise.reject(new Error('power failure')) : file.sync()),
   }));
 
-/** Appends numbered records until power is lost in the sync of the last of so many new files; gives the newest acknowledged. */
+/** Appends numbered records until the sync of rotation number `rotations` fails; returns the last acknowledged record. */
 const appendUntilRotationFails = async (memory: MemoryFiles, rotations: number): Promise<string> => {
-  let begun = 0;
-  const ring = (await openDiskRing(filesWithoutSync(memory, () => begun === rotations))).unsafeCoerce();
+  let startedRotations = 0;
+  const ring = (await openDiskRing(filesWithFailingSync(memory, () => startedRotations === rotations))).unsafeCoerce();
   const snapshotOf = (number: number) => () => {
-    begun += 1;
+    startedRotations += 1;
     return Buffer.from(`${snapshotPadding}record ${number}`);
   };
   for (let number = 1; ; number += 1)
@@ -39,39 +39,39 @@
       return `record ${number - 1}`;
 };
 
-/** The head and the marks of a file never reach the disk, what stands behind them does. */
+/** The writes of the file header and the marks are lost, all writes behind them reach the disk. */
 const headLost: WriteFates = ({ offset }) => (offset < firstRecordOffset ? { type: 'lost' } : { type: 'kept' });
 
-// Guards against: a core machine never starts again after power was lost while the next ring file was being made.
-test('a file whose head is still the former one and whose records are overwritten gives way to the newer file', async () => {
+// Guards against: a control node that can not start after a power failure during a rotation to the next ring file.
+test('a file with its old header but overwritten records is ignored in favour of the newer file', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   const acknowledged = await appendUntilRotationFails(memory, 3);
-  const again = await opened(memory.afterPowerLoss(headLost));
-  assert.is(newestOf(again), acknowledged);
+  const reopened = await opened(memory.afterPowerLoss(headLost));
+  assert.is(newestOf(reopened), acknowledged);
 });
 
-// Guards against: a record that was never synced is acknowledged after a restart, and gone after a loss of power.
-test('a record that came back after the process was killed is still there after power is lost', async () => {
+// Guards against: an unsynced record that is acknowledged after a restart and lost in a later power failure.
+test('a record recovered after a kill of the process survives a later power failure', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   await appendUntilRotationFails(memory, 3);
   const afterKill = newestOf(await opened(memory));
   assert.is(newestOf(await opened(memory.afterPowerLoss(allLost))), afterKill);
 });
 
-/** What stands behind the head of a file never reaches the disk, the head does. */
+/** The writes behind the file header and the marks are lost, those of the header and the marks reach the disk. */
 const snapshotLost: WriteFates = ({ offset }) => (offset < firstRecordOffset ? { type: 'kept' } : { type: 'lost' });
 
-/** Begins a new file for a record that does not fit; power is lost in the sync, and leaves what the fates say. */
+/** Starts a rotation and lets the power fail during its sync; `fates` decide which writes reach the disk. */
 const losePowerInRotation = async (memory: MemoryFiles, snapshot: string, fates: WriteFates): Promise<MemoryFiles> => {
   let isLost = false;
-  const ring = (await openDiskRing(filesWithoutSync(memory, () => isLost))).unsafeCoerce();
+  const ring = (await openDiskRing(filesWithFailingSync(memory, () => isLost))).unsafeCoerce();
   isLost = true;
   assert.ok((await ring.append(Buffer.alloc(fileBytes), () => Buffer.from(snapshot))).isLeft());
   return memory.afterPowerLoss(fates);
 };
 
-// Guards against: an acknowledged record is gone, since two interrupted rotations together leave an older snapshot whole.
-test('the head of an interrupted rotation does not bring back the snapshot of a former one', async () => {
+// Guards against: loss of an acknowledged record when two interrupted rotations together complete an older snapshot.
+test('the header of an interrupted rotation does not make the snapshot of an earlier one valid', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   await appendText(await opened(memory), 'first');
   const afterFirst = await losePowerInRotation(memory, 'first, interrupted', headLost);
@@ -80,8 +80,8 @@
   assert.is(newestOf(await opened(afterSecond)), 'second');
 });
 
-// Guards against: any other image of the files after a crash that can not be opened, or that lacks what was acknowledged.
-test('random images after crashes open and hold what was acknowledged', async () => {
+// Guards against: any other state of the files after a crash that can not be opened or lacks acknowledged records.
+test('the files open after random crashes with all acknowledged records', async () => {
   for (const seed of [1, 2, 3]) assert.equal((await playCrashImages(seed, 150)).faults, [], `seed ${seed}`);
 });
 
