--- a/src/setup/check/record-schema.ts
+++ b/src/setup/check/record-schema.ts
@@ -1,6 +1,7 @@
 import { array, number, object, string } from 'yup';
 import { setupSchema, warmupSchema } from './setup-schema.js';
 
+/** The schema of a stored setup record. */
 export const recordSchema = object({
   revision: number().required().integer().min(1),
   takenAtUs: number().required().integer(),
--- a/src/setup/delta/record-delta.ts
+++ b/src/setup/delta/record-delta.ts
@@ -9,37 +9,41 @@
 import { listEditsOf, withListEdits, type ListEdit } from './list-edit.js';
 import { recordDigestOf } from './record-digest.js';
 
-/** The fields of a setup that are no lists. */
+/** The fields of a setup that are not lists. */
 export type SetupFigures = Omit<Setup, 'services' | 'tiers' | 'rules' | 'tenants'>;
 
-/** Names one record: revisions alone may come twice with other content where a core lost everything. */
+/**
+ * Identifies one record. The revision alone is not unique: a core that lost all of its data may assign a revision again to
+ * different content.
+ */
 export type RecordBase = { readonly revision: number; readonly digest: string };
 
-/** The name of a record. */
+/** The identification of a record, by which a delta refers to its base. */
 export const recordBaseOf = (record: SetupRecord): RecordBase => ({
   revision: record.revision,
   digest: recordDigestOf(record),
 });
 
-/** Whether a record is the one that a base names. */
+/** Whether a record is the one identified by `base`. */
 export const isBase = (record: SetupRecord, base: RecordBase): boolean =>
   record.revision === base.revision && recordDigestOf(record) === base.digest;
 
-/** What makes a newer record of a known one, with digests of both. */
+/** The difference between a base record and a newer record, with the digests of both. */
 export type RecordDelta = {
   readonly base: RecordBase;
   readonly revision: number;
   readonly takenAtUs: number;
-  /** The digest of the record that comes of it. */
+  /** The digest of the resulting record. */
   readonly digest: string;
   readonly services: readonly ListEdit<Service>[];
   readonly tiers: readonly ListEdit<Tier>[];
   readonly rules: readonly ListEdit<Rule>[];
-  /** Only where the newer record has tenants. */
+  /** Present only if the newer record has tenants. */
   readonly tenants?: readonly ListEdit<Tenant>[];
   readonly epochs: readonly ListEdit<WarmupEpoch>[];
-  /** Only where one of them differs. */
+  /** Present only if one of these fields differs. */
   readonly figures?: SetupFigures;
+  /** Present only if the newer record has an original; the edits apply to the pieces of the text. */
   readonly original?: { readonly version: number; readonly text: readonly ListEdit<string>[] };
 };
 
@@ -50,10 +54,13 @@
 
 const figuresOf = (setup: Setup): SetupFigures => partsOf(setup).figures;
 
-/** The pieces by which the operator's text is compared: each ends with a closing brace, as every item of a list does. */
+/**
+ * Splits the operator's text into the pieces by which it is compared. Each piece ends with a closing brace, as every item of a
+ * list does.
+ */
 const piecesOf = (text: string): readonly string[] => text.split(/(?<=\})/);
 
-/** The delta from a known record to a newer one. */
+/** The delta from a base record to a newer one. */
 export const recordDeltaOf = (base: SetupRecord, target: SetupRecord): RecordDelta => {
   const figures = figuresOf(target.setup);
   const hasSameFigures = orderedJson(figures) === orderedJson(figuresOf(base.setup));
@@ -81,6 +88,7 @@
   };
 };
 
+/** The tenants after a delta, as a field to spread; undefined if the edits do not apply. */
 const tenantsAfter = (
   base: SetupRecord,
   { tenants: edits }: RecordDelta,
@@ -90,6 +98,7 @@
   return tenants === undefined ? undefined : { tenants };
 };
 
+/** The operator's document after a delta, as a field to spread; undefined if the edits do not apply. */
 const originalAfter = (
   base: SetupRecord,
   { original }: RecordDelta,
@@ -100,8 +109,8 @@
 };
 
 /**
- * The record that a delta makes of its base; undefined where the base is another one or the result is not what the
- * sender had. Items that did not change are the very items of the base.
+ * Applies a delta to its base record. Returns undefined if the record is not the base of the delta, or if the digest of the
+ * result does not match. Unchanged items of lists are shared with the base, not copied.
  */
 export const withRecordDelta = (base: SetupRecord, delta: RecordDelta): SetupRecord | undefined => {
   if (!isBase(base, delta.base)) return undefined;
--- a/src/setup/delta/record-digest.ts
+++ b/src/setup/delta/record-digest.ts
@@ -2,9 +2,9 @@
 import { itemText, orderedJson } from '../document/canonical-text.js';
 import type { SetupRecord } from '../document/setup-record.js';
 
-const knownDigests = new WeakMap<SetupRecord, string>();
+const digestCache = new WeakMap<SetupRecord, string>();
 
-/** The parts of a record in a fixed order, each with the number of its items before them. */
+/** The parts of a record in a fixed order; each list is preceded by the number of its items. */
 const partsOf = ({ revision, takenAtUs, setup, original, epochs }: SetupRecord): readonly string[] => {
   const { services, tiers, rules, tenants, ...figures } = setup;
   return [
@@ -17,15 +17,15 @@
 };
 
 /**
- * A digest of a whole record, the operator's text included: the same for every copy of it. Items that two records share
- * are written out once, so that the digest of a changed record costs what changed and one pass of the hash.
+ * A digest of a whole record, including the operator's text; equal for equal copies. The text of an item shared by two records
+ * is cached, so the digest of a changed record costs one hash pass plus the serialization of the changed items.
  */
 export const recordDigestOf = (record: SetupRecord): string => {
-  const knownDigest = knownDigests.get(record);
-  if (knownDigest !== undefined) return knownDigest;
+  const cachedDigest = digestCache.get(record);
+  if (cachedDigest !== undefined) return cachedDigest;
   const hash = createHash('sha256');
   for (const part of partsOf(record)) hash.update(`${part.length}:`).update(part);
   const digest = hash.digest('hex').slice(0, 32);
-  knownDigests.set(record, digest);
+  digestCache.set(record, digest);
   return digest;
 };
--- a/src/setup/delta/shared-record.ts
+++ b/src/setup/delta/shared-record.ts
@@ -1,15 +1,15 @@
 import { itemText } from '../document/canonical-text.js';
 import type { SetupRecord } from '../document/setup-record.js';
 
-/** A list with the former items in place of equal ones; the former list itself where all are equal. */
+/** The new list with equal items replaced by those of the old list; the old list itself if all are equal. */
 const sharedList = <T extends object>(former: readonly T[], next: readonly T[]): readonly T[] => {
   const formerItems = new Map(former.map((item) => [itemText(item), item]));
   const items = next.map((item) => formerItems.get(itemText(item)) ?? item);
-  const isSame = items.length === former.length && items.every((item, place) => item === former[place]);
+  const isSame = items.length === former.length && items.every((item, index) => item === former[index]);
   return isSame ? former : items;
 };
 
-/** A newer record with everything that did not change taken from the former one, so that both hold it once. */
+/** A newer record that shares all unchanged items with the previous one, so that they are held in memory once. */
 export const sharedRecord = (former: SetupRecord | undefined, next: SetupRecord): SetupRecord =>
   former === undefined
     ? next
--- a/src/setup/document/caller-limits.ts
+++ b/src/setup/document/caller-limits.ts
@@ -1,9 +1,11 @@
 import type { Micros } from '../../common/micros.js';
 
-/** What one caller may send, and how long it may take. */
+/** Limits on the HTTP requests of clients. */
 export type CallerLimits = {
   readonly headBytes: number;
   readonly bodyBytes: number;
+  /** The timeout for receiving the request header. */
   readonly headUs: Micros;
+  /** The timeout of an idle connection. */
   readonly idleUs: Micros;
 };
--- a/src/setup/document/canonical-text.ts
+++ b/src/setup/document/canonical-text.ts
@@ -1,46 +1,46 @@
-/** What JSON leaves out of an object, and writes as null in a list. */
-const isLeftOut = (value: unknown): boolean =>
+/** Whether JSON omits the value from an object and writes it as null in a list. */
+const isOmitted = (value: unknown): boolean =>
   value === undefined || typeof value === 'function' || typeof value === 'symbol';
 
-const orderedText = (value: unknown): string => {
-  if (isLeftOut(value)) return 'null';
+const sortedText = (value: unknown): string => {
+  if (isOmitted(value)) return 'null';
   if (typeof value !== 'object' || value === null) return JSON.stringify(value);
-  if (Array.isArray(value)) return `[${value.map(orderedText).join(',')}]`;
+  if (Array.isArray(value)) return `[${value.map(sortedText).join(',')}]`;
   const fields = new Map<string, unknown>(Object.entries(value));
   const keys = [...fields.keys()].sort();
   const texts: string[] = [];
   for (const key of keys) {
     const field = fields.get(key);
-    if (!isLeftOut(field)) texts.push(`${JSON.stringify(key)}:${orderedText(field)}`);
+    if (!isOmitted(field)) texts.push(`${JSON.stringify(key)}:${sortedText(field)}`);
   }
   return `{${texts.join(',')}}`;
 };
 
-/** A value as JSON with its keys in order: equal for equal values, whatever order their keys came in. */
-export const orderedJson = (value: object): string => orderedText(value);
+/** The JSON of a value with sorted keys: equal for equal values, regardless of the order of their keys. */
+export const orderedJson = (value: object): string => sortedText(value);
 
-const knownTexts = new WeakMap<object, string>();
+const sortedTextCache = new WeakMap<object, string>();
 
-/** The ordered JSON of an object that never changes: worked out once, and kept as long as the object lives. */
+/** The JSON with sorted keys of an immutable object; cached for the lifetime of the object. */
 export const canonicalText = (value: object): string => {
-  const knownText = knownTexts.get(value);
-  if (knownText !== undefined) return knownText;
+  const cachedText = sortedTextCache.get(value);
+  if (cachedText !== undefined) return cachedText;
   const text = orderedJson(value);
-  knownTexts.set(value, text);
+  sortedTextCache.set(value, text);
   return text;
 };
 
-const knownItemTexts = new WeakMap<object, string>();
+const itemTextCache = new WeakMap<object, string>();
 
 /**
- * The JSON of an object that never changes, with its keys as they came: worked out once. Copies of one item keep the
- * order of its keys on every way between nodes; of two items that differ in nothing else the texts differ, which costs
- * a comparison, never an error.
+ * The JSON of an immutable object with its keys in their given order; cached. Nodes pass copies of an item on without changing
+ * the order of its keys. Equal items with another order of keys have different texts, so they are treated as changed, which
+ * costs work but is never an error.
  */
 export const itemText = (value: object): string => {
-  const knownText = knownItemTexts.get(value);
-  if (knownText !== undefined) return knownText;
+  const cachedText = itemTextCache.get(value);
+  if (cachedText !== undefined) return cachedText;
   const text = JSON.stringify(value);
-  knownItemTexts.set(value, text);
+  itemTextCache.set(value, text);
   return text;
 };
--- a/src/setup/document/original.ts
+++ b/src/setup/document/original.ts
@@ -1,4 +1,4 @@
-/** The operator's own document, of which a setup was made: its version there, and its text as it was sent. */
+/** The operator's document from which a setup was converted: its version at the operator, and its unchanged text. */
 export type Original = {
   readonly version: number;
   readonly text: string;
--- a/src/setup/document/pressure.ts
+++ b/src/setup/document/pressure.ts
@@ -1,9 +1,9 @@
-/** The bounds of pressure on a node and on its servers. */
+/** Load limits of a router and of its servers. */
 export type Pressure = {
-  /** How far above the even share a server may be pressed before openings spill. */
+  /** The load of a server relative to an even share, above which prompt prefixes spill over to other servers. */
   readonly factor: number;
-  /** A server below this many exchanges of one node never spills. */
+  /** A server with fewer exchanges of one router than this never spills over. */
   readonly floor: number;
-  /** The exchanges that one node holds at once. */
+  /** The maximum number of concurrent exchanges of one router. */
   readonly slots: number;
 };
--- a/src/setup/document/quota-unit.ts
+++ b/src/setup/document/quota-unit.ts
@@ -1,2 +1,2 @@
-/** What a quota counts: whole requests, or the tokens that requests read and write. */
+/** The unit of a quota: requests, or the tokens that requests read and write. */
 export type QuotaUnit = 'requests' | 'tokens';
--- a/src/setup/document/quota.ts
+++ b/src/setup/document/quota.ts
@@ -1,12 +1,12 @@
 import type { QuotaUnit } from './quota-unit.js';
 
-/** How much a tenant may use over all routers together. */
+/** The rate limit of a tenant over all routers: a token bucket of the given rate and burst. */
 export type Quota = {
   readonly unit: QuotaUnit;
-  /** Units a second; 0 for no limit. */
+  /** Units per second; 0 means no limit. */
   readonly ratePerSecond: number;
-  /** Units on top of the rate, which a tenant that was idle may use at once. */
+  /** Units on top of the rate that a tenant may use at once after it was idle. */
   readonly burst: number;
-  /** What a request counts that does not tell its tokens, where tokens are counted. */
+  /** With the unit `tokens`: the charge for a request that does not state its token count. */
   readonly defaultTokens: number;
 };
--- a/src/setup/document/rule.ts
+++ b/src/setup/document/rule.ts
@@ -1,30 +1,31 @@
 import type { Micros } from '../../common/micros.js';
 import type { Share } from './share.js';
 
-/** What is to be done with exchanges of one kind. */
+/** How exchanges of one kind are routed, prioritized and timed. */
 export type Rule = {
   readonly kind: string;
   readonly service: string;
-  /** Several services by weight; the service alone where there is none. */
+  /** A weighted split over several services; without it all exchanges go to `service`. */
   readonly split?: readonly Share[];
-  /** Where exchanges of this kind are sent to, for callers that name a host and a path and no kind. */
+  /** The host and path prefix that select this rule for clients that send no kind. */
   readonly match?: { readonly host: string; readonly path: string };
   readonly tier: string;
-  /** Whether requests need no key, also where the configuration has tenants. */
+  /** Whether requests need no API key even if the configuration has tenants. */
   readonly public?: boolean;
-  /** Whether the work may run again after a try whose outcome is unknown. */
+  /** Whether the work may run again after an attempt with an unknown outcome. */
   readonly repeatable: boolean;
-  /** Whether a broken stream may go on at its next piece on another server. */
+  /** Whether a broken stream may be resumed at its next piece on another server. */
   readonly resumable: boolean;
-  /** Whether the receipt is a stream of pieces; where it is not told, the type of the service decides. */
+  /** Whether the response is a stream of pieces; by default the type of the service decides. */
   readonly streams?: boolean;
-  /** The most servers that one exchange may go to. */
+  /** The maximum number of attempts of one exchange; unlimited if absent. */
   readonly mostTries?: number;
+  /** The deadline of an exchange, over all attempts. */
   readonly budgetUs: Micros;
-  /** Within this time a receipt, or its first piece, is worth most. */
+  /** A response, or its first piece, has its full worth within this time. */
   readonly targetUs?: Micros;
-  /** How long a first piece may take before a repeatable exchange is tried elsewhere. */
+  /** The timeout for the first piece, after which a repeatable exchange is retried on another server. */
   readonly firstPieceUs: Micros;
-  /** How long a stream may be silent between two pieces before its server counts as lost to it. */
+  /** The timeout between two pieces of a stream, after which its server counts as failed for it. */
   readonly silenceUs: Micros;
 };
--- a/src/setup/document/service-type.ts
+++ b/src/setup/document/service-type.ts
@@ -1,2 +1,2 @@
-/** A model service keeps what it has read of openings; a web service keeps nothing. */
+/** Servers of a model service cache the prompt prefixes that they have read; servers of a web service cache nothing. */
 export type ServiceType = 'model' | 'web';
--- a/src/setup/document/service.ts
+++ b/src/setup/document/service.ts
@@ -1,11 +1,11 @@
 import type { ServiceType } from './service-type.js';
 
-/** A service that exchanges may be delivered to. */
+/** A group of interchangeable servers to which exchanges are routed. */
 export type Service = {
   readonly name: string;
   readonly type: ServiceType;
-  /** The most links that one of its servers takes from the whole fleet. */
+  /** The maximum number of connections from the whole fleet that one server accepts. */
   readonly mostLinks?: number;
-  /** What one of its servers works on at once, and the tokens that it keeps, running or remembered. */
+  /** The concurrency of one server, and the tokens that fit into its memory, in use or cached. */
   readonly engine?: { readonly slots: number; readonly memoryTokens: number };
 };
--- a/src/setup/document/setup-record.ts
+++ b/src/setup/document/setup-record.ts
@@ -3,12 +3,12 @@
 import type { Setup } from './setup.js';
 import type { WarmupEpoch } from './warmup-epoch.js';
 
-/** A taken setup with its place in the control log. */
+/** A committed setup with its revision, which increases with every committed change. */
 export type SetupRecord = {
   readonly revision: number;
   readonly takenAtUs: Micros;
   readonly setup: Setup;
   readonly original?: Original;
-  /** The warm-up figures over time, oldest first, so that a change never moves a booking. */
+  /** All warm-up parameters with their start times, oldest first, so that a change never moves an existing booking. */
   readonly epochs: readonly WarmupEpoch[];
 };
--- a/src/setup/document/setup.ts
+++ b/src/setup/document/setup.ts
@@ -7,20 +7,23 @@
 import type { Tier } from './tier.js';
 import type { Warmup } from './warmup.js';
 
-/** A whole setup, as an operator sends it. */
+/** The configuration of the fleet, as sent by an operator. */
 export type Setup = {
   readonly name: string;
-  /** How many routers there are, where the operator tells; otherwise they are counted. */
+  /** The number of routers; if it is absent, the live routers are counted. */
   readonly fleet?: { readonly routers: number };
   readonly services: readonly Service[];
   readonly tiers: readonly Tier[];
   readonly rules: readonly Rule[];
-  /** The customers and their keys; where there is no such list, requests carry no key. */
+  /** The customers and their API keys; without this list, requests need no key. */
   readonly tenants?: readonly Tenant[];
   readonly warmup: Warmup;
+  /** Single-flight: how long an exchange may wait for the prefill of the same prompt prefix by another one. */
   readonly flight: { readonly boundUs: Micros };
   readonly pressure: Pressure;
+  /** The retry budget. */
   readonly retry: { readonly fraction: number; readonly fleetExtra: number };
   readonly callers?: CallerLimits;
+  /** The grace period of a leaving server, after which it gets no new exchanges. */
   readonly leaving: { readonly graceUs: Micros };
 };
--- a/src/setup/document/share.ts
+++ b/src/setup/document/share.ts
@@ -1,4 +1,4 @@
-/** The part of a rule's exchanges that goes to one service. */
+/** The share of a rule's exchanges that is routed to one service, relative to the sum of all weights. */
 export type Share = {
   readonly service: string;
   readonly weight: number;
--- a/src/setup/document/tenant.ts
+++ b/src/setup/document/tenant.ts
@@ -1,11 +1,11 @@
 import type { Quota } from './quota.js';
 
-/** A customer of the fleet, who is known by the API keys that its requests carry. */
+/** A customer of the fleet, identified by the API key in its requests. */
 export type Tenant = {
   readonly name: string;
-  /** The API keys of this tenant; none while all of them are revoked. */
+  /** The valid API keys; empty if all are revoked. */
   readonly keys: readonly string[];
-  /** The priority tier of this tenant's requests, in place of the tier of their route. */
+  /** The priority tier of this tenant's requests; overrides the tier of the rule. */
   readonly tier?: string;
   readonly quota?: Quota;
 };
--- a/src/setup/document/warmup.ts
+++ b/src/setup/document/warmup.ts
@@ -1,15 +1,16 @@
 import type { Micros } from '../../common/micros.js';
 
-/** The figures of the warm-up design. */
+/** The parameters of the warm-up of new servers. */
 export type Warmup = {
+  /** Virtual nodes of each server on the consistent-hash ring. */
   readonly vnodes: number;
   readonly prefixesPerRange: number;
-  /** The fleet's time between two prefills in one range. */
+  /** The interval between two prefills in one hash range, over the whole fleet. */
   readonly paceUs: Micros;
-  /** The longest time from the first listing to the entry moment. */
+  /** The maximum time from the first listing of a server to its entry moment. */
   readonly boundUs: Micros;
-  /** How long after the entry moment cold prefills stay paced. */
+  /** How long cold prefills remain paced after the entry moment. */
   readonly settleUs: Micros;
-  /** After this long unused an opening counts as evicted. */
+  /** A prompt prefix that was not used for this long counts as evicted. */
   readonly staleUs: Micros;
 };
--- a/src/setup/match/rule-index.ts
+++ b/src/setup/match/rule-index.ts
@@ -1,7 +1,7 @@
 import type { Rule } from '../document/rule.js';
 import type { Setup } from '../document/setup.js';
 
-/** The rules of one host by path, and the lengths that paths have there, the longest first. */
+/** The rules of one host by path, and the distinct lengths of their paths in descending order. */
 type HostRules = {
   readonly byPath: ReadonlyMap<string, Rule>;
   readonly pathLengths: readonly number[];
@@ -13,7 +13,7 @@
   readonly byHost: ReadonlyMap<string, HostRules>;
 };
 
-const knownIndexes = new WeakMap<Setup, RuleIndex>();
+const indexCache = new WeakMap<Setup, RuleIndex>();
 
 const hostRulesOf = (byPath: ReadonlyMap<string, Rule>): HostRules => ({
   byPath,
@@ -35,17 +35,18 @@
   };
 };
 
+/** The index of the rules of a setup; built once for each setup. */
 export const ruleIndexOf = (setup: Setup): RuleIndex => {
-  const knownIndex = knownIndexes.get(setup);
-  if (knownIndex !== undefined) return knownIndex;
+  const cachedIndex = indexCache.get(setup);
+  if (cachedIndex !== undefined) return cachedIndex;
   const index = indexOf(setup);
-  knownIndexes.set(setup, index);
+  indexCache.set(setup, index);
   return index;
 };
 
 /**
- * The rule for a host and a path: of those of the host, the one with the longest path that the path begins with. It
- * costs one look-up for each length that the paths of the host have, however many rules there are.
+ * The rule for a host and a path by longest-prefix match among the rules of the host; undefined if none matches. Costs one
+ * look-up for each distinct path length of the host, independent of the number of rules.
  */
 export const ruleAt = (setup: Setup, host: string, path: string): Rule | undefined => {
   const hostRules = ruleIndexOf(setup).byHost.get(host.toLowerCase());
--- a/src/setup/match/share-of.ts
+++ b/src/setup/match/share-of.ts
@@ -1,14 +1,14 @@
 import { positionEnd, positionOf } from '../../decision/ring/position.js';
 import type { Rule } from '../document/rule.js';
 
-/** The service of one exchange of a rule: by weight where the rule is split, drawn from the exchange's own name. */
+/** The service of an exchange: `service`, or for a split rule a weighted choice by the hash of the exchange name. */
 export const shareOf = (rule: Rule, exchange: string): string => {
   if (rule.split === undefined) return rule.service;
   const total = rule.split.reduce((sum, share) => sum + share.weight, 0);
-  let left = (positionOf(exchange) / positionEnd) * total;
+  let remainder = (positionOf(exchange) / positionEnd) * total;
   for (const share of rule.split) {
-    if (left < share.weight) return share.service;
-    left -= share.weight;
+    if (remainder < share.weight) return share.service;
+    remainder -= share.weight;
   }
   return rule.service;
 };
--- a/src/setup/objects/convert-objects.ts
+++ b/src/setup/objects/convert-objects.ts
@@ -6,76 +6,89 @@
 import { objectSchema, type SetupObject } from './object-schemas.js';
 import { readObjects } from './read-objects.js';
 
-type Placed = { readonly place: number; readonly made: SetupObject };
+/** A parsed object and the position of its document in the text, counted from 1. */
+type ParsedObject = { readonly position: number; readonly object: SetupObject };
 
-const nameOf = ({ place, made }: Placed): string => `document ${place} (${made.kind} ${made.metadata.name})`;
+const labelOf = ({ position, object }: ParsedObject): string =>
+  `document ${position} (${object.kind} ${object.metadata.name})`;
 
-const framed = (text: string): Either<readonly Fault[], readonly Placed[]> =>
+/** Parses the documents and validates the common fields of every object. */
+const parseObjects = (text: string): Either<readonly Fault[], readonly ParsedObject[]> =>
   readObjects(text).chain((documents) => {
     const faults: Fault[] = [];
-    const placed: Placed[] = [];
-    for (const { place, value } of documents)
+    const parsedObjects: ParsedObject[] = [];
+    for (const { position, value } of documents)
       checked(objectSchema, value)
         .ifLeft((found) =>
           faults.push(
             ...found.map(({ path, message }) => ({
-              path: `document ${place}${path === '' ? '' : `: ${path}`}`,
+              path: `document ${position}${path === '' ? '' : `: ${path}`}`,
               message,
             })),
           ),
         )
-        .ifRight((made) => placed.push({ place, made }));
-    return faults.length === 0 ? Right(placed) : Left(faults);
+        .ifRight((object) => parsedObjects.push({ position, object }));
+    return faults.length === 0 ? Right(parsedObjects) : Left(faults);
   });
 
-const fieldForm = /^(services|tiers|rules|tenants)\[(\d+)\]\.?(.*)$/;
+const fieldPattern = /^(services|tiers|rules|tenants)\[(\d+)\]\.?(.*)$/;
 
-/** Says of a fault of the whole setup in which document and at which path it stands. */
-const placedFault = (
+/** Translates the path of a fault in the converted setup to the document and path of its source object. */
+const sourceFault = (
   { path, message }: Fault,
-  fleet: Placed,
-  lists: Readonly<Record<string, readonly Placed[]>>,
+  fleet: ParsedObject,
+  lists: Readonly<Record<string, readonly ParsedObject[]>>,
 ): Fault => {
-  const [, list = '', index = '', field = ''] = fieldForm.exec(path) ?? [];
-  const own = lists[list]?.[Number(index)] ?? fleet;
-  const ownPath = lists[list] === undefined ? path : field;
-  const named =
-    ownPath === 'name' || ownPath === 'kind' ? 'metadata.name' : ownPath === '' ? 'spec' : `spec.${ownPath}`;
-  return { path: `${nameOf(own)}: ${named}`, message };
+  const [, list = '', index = '', field = ''] = fieldPattern.exec(path) ?? [];
+  const source = lists[list]?.[Number(index)] ?? fleet;
+  const localPath = lists[list] === undefined ? path : field;
+  const sourcePath =
+    localPath === 'name' || localPath === 'kind' ? 'metadata.name' : localPath === '' ? 'spec' : `spec.${localPath}`;
+  return { path: `${labelOf(source)}: ${sourcePath}`, message };
 };
 
-/** Makes a checked setup of Kubernetes-style objects; every fault is named by document and path. */
+/** Converts Kubernetes-style objects to a validated setup; every fault has its document and path. */
 export const convertObjects = (text: string): Either<readonly Fault[], Setup> =>
-  framed(text).chain((objects) => {
-    const of = (kind: SetupObject['kind']): readonly Placed[] => objects.filter(({ made }) => made.kind === kind);
-    const [fleet, ...otherFleets] = of('Fleet');
-    if (fleet === undefined) return Left([{ path: 'documents', message: 'one object must be of kind Fleet' }]);
+  parseObjects(text).chain((objects) => {
+    const objectsOf = (kind: SetupObject['kind']): readonly ParsedObject[] =>
+      objects.filter(({ object }) => object.kind === kind);
+    const [fleet, ...otherFleets] = objectsOf('Fleet');
+    if (fleet === undefined)
+      return Left([{ path: 'documents', message: 'exactly one object of kind Fleet is required' }]);
     if (otherFleets.length > 0)
       return Left(
-        otherFleets.map((other) => ({ path: nameOf(other), message: `there is a Fleet already: ${nameOf(fleet)}` })),
+        otherFleets.map((other) => ({
+          path: labelOf(other),
+          message: `duplicate Fleet: the first is ${labelOf(fleet)}`,
+        })),
       );
-    const lists = { services: of('Service'), tiers: of('Tier'), rules: of('Rule'), tenants: of('Tenant') };
-    const reserved = objects.flatMap((placed) =>
+    const lists = {
+      services: objectsOf('Service'),
+      tiers: objectsOf('Tier'),
+      rules: objectsOf('Rule'),
+      tenants: objectsOf('Tenant'),
+    };
+    const reservedFieldFaults = objects.flatMap((parsed) =>
       [
         'name',
-        ...(placed.made.kind === 'Rule' ? ['kind'] : []),
-        ...(placed.made.kind === 'Fleet' ? Object.keys(lists) : []),
+        ...(parsed.object.kind === 'Rule' ? ['kind'] : []),
+        ...(parsed.object.kind === 'Fleet' ? Object.keys(lists) : []),
       ]
-        .filter((field) => Object.hasOwn(placed.made.spec, field))
+        .filter((field) => Object.hasOwn(parsed.object.spec, field))
         .map((field) => ({
-          path: `${nameOf(placed)}: spec.${field}`,
-          message: 'this is told by metadata.name, or by objects of its own',
+          path: `${labelOf(parsed)}: spec.${field}`,
+          message: 'reserved field: it is set from metadata.name or from separate objects',
         })),
     );
-    if (reserved.length > 0) return Left(reserved);
+    if (reservedFieldFaults.length > 0) return Left(reservedFieldFaults);
     return checkSetup({
-      ...fleet.made.spec,
-      name: fleet.made.metadata.name,
-      services: lists.services.map(({ made }) => ({ ...made.spec, name: made.metadata.name })),
-      tiers: lists.tiers.map(({ made }) => ({ ...made.spec, name: made.metadata.name })),
-      rules: lists.rules.map(({ made }) => ({ ...made.spec, kind: made.metadata.name })),
+      ...fleet.object.spec,
+      name: fleet.object.metadata.name,
+      services: lists.services.map(({ object }) => ({ ...object.spec, name: object.metadata.name })),
+      tiers: lists.tiers.map(({ object }) => ({ ...object.spec, name: object.metadata.name })),
+      rules: lists.rules.map(({ object }) => ({ ...object.spec, kind: object.metadata.name })),
       ...(lists.tenants.length === 0
         ? {}
-        : { tenants: lists.tenants.map(({ made }) => ({ ...made.spec, name: made.metadata.name })) }),
-    }).mapLeft((faults) => faults.map((fault) => placedFault(fault, fleet, lists)));
+        : { tenants: lists.tenants.map(({ object }) => ({ ...object.spec, name: object.metadata.name })) }),
+    }).mapLeft((faults) => faults.map((fault) => sourceFault(fault, fleet, lists)));
   });
--- a/src/setup/objects/object-schemas.ts
+++ b/src/setup/objects/object-schemas.ts
@@ -11,7 +11,7 @@
     typeof value === 'object' && value !== null && !Array.isArray(value),
 ).required('${path} must be an object');
 
-/** The frame of every object; what a spec may hold is told by the setup's own schema. */
+/** The common fields of every object; the contents of `spec` are validated by the schema of the setup. */
 export const objectSchema = object({
   apiVersion: string().required().oneOf([apiVersion], `\${path} must be ${apiVersion}`),
   kind: string()
@@ -23,5 +23,5 @@
   .required()
   .noUnknown();
 
-/** A Kubernetes-style object that describes a part of a setup. */
+/** A Kubernetes-style object that describes one part of a setup. */
 export type SetupObject = InferType<typeof objectSchema>;
