--- a/src/cli/experiment-command.ts
+++ b/src/cli/experiment-command.ts
@@ -13,6 +13,7 @@
 
 type Flags = { readonly seeds: string; readonly without: string; readonly ablate: boolean };
 
+/** Reads and validates an experiment file; every failure is a `bad-usage` error. */
 const readExperiment = (path: string): Either<TypedError, Experiment> => {
   try {
     return parseJson(readFileSync(path, 'utf8'), 'bad-usage').chain((value) =>
@@ -25,15 +26,16 @@
   }
 };
 
-const isPart = (name: string): name is keyof DecisionPolicy => policyParts.some((part) => part === name);
+const isPolicyPart = (name: string): name is keyof DecisionPolicy => policyParts.some((part) => part === name);
 
-const print = (line: string): void => void process.stdout.write(`${line}\n`);
+const printLine = (line: string): void => void process.stdout.write(`${line}\n`);
 
-const percent = (count: number, of: number): string => ((100 * count) / Math.max(1, of)).toFixed(1);
+const percent = (count: number, total: number): string => ((100 * count) / Math.max(1, total)).toFixed(1);
 
+/** A row of the result table: the means over all seeds. */
 const rowOf = (name: string, results: readonly ExperimentResult[]): string => {
   const worth = spreadOf(results.map((result) => result.worth));
-  const mean = (figure: (result: ExperimentResult) => number): number => spreadOf(results.map(figure)).mean;
+  const mean = (valueOf: (result: ExperimentResult) => number): number => spreadOf(results.map(valueOf)).mean;
   const cells = [
     name,
     `${worth.mean.toFixed(3)} (${worth.least.toFixed(3)} to ${worth.most.toFixed(3)})`,
@@ -53,21 +55,21 @@
   return `| ${cells.join(' | ')} |`;
 };
 
-/** Plays emulated routers, servers and clients on virtual time, with all of the policy or without parts of it. */
+/** Adds `experiment`: simulates routers, servers and clients in virtual time, with the whole policy or without parts of it. */
 export const addExperimentCommand = (program: Command): void => {
   const command = program
     .command('experiment')
-    .description('play a deployment and its load on virtual time, and show what the decision earns')
-    .argument('<file>', 'the experiment, as JSON; see examples/experiments')
-    .option('--seeds <range>', 'the seeds to play', '1-3')
-    .option('--without <parts>', `parts of the policy to leave out, by commas: ${policyParts.join(', ')}`, '')
-    .option('--ablate', 'one row for the whole policy, and one for each part left out', false);
-  const misused = (message: string): never =>
+    .description('simulate a deployment and its load in virtual time, and print the results of the routing policy')
+    .argument('<file>', 'the experiment (JSON); see examples/experiments')
+    .option('--seeds <range>', 'the seeds to simulate, first-last or a single one', '1-3')
+    .option('--without <parts>', `comma-separated parts of the policy to disable: ${policyParts.join(', ')}`, '')
+    .option('--ablate', 'also print one row for each part of the policy, with that part disabled', false);
+  const failUsage = (message: string): never =>
     command.error(`error: ${message}\n\n${command.helpInformation()}`, { exitCode: 2 });
 
   const seedsOf = (text: string): readonly number[] => {
-    const range = parseSeeds(text) ?? misused('--seeds must be a number, or a range like 1-3');
-    return Array.from({ length: range.last - range.first + 1 }, (_, place) => range.first + place);
+    const range = parseSeeds(text) ?? failUsage('--seeds must be a number or a range such as 1-3');
+    return Array.from({ length: range.last - range.first + 1 }, (_, index) => range.first + index);
   };
 
   const policyOf = (text: string): DecisionPolicy =>
@@ -75,23 +77,24 @@
       .split(',')
       .filter((name) => name !== '')
       .reduce<DecisionPolicy>(
-        (policy, name) => (isPart(name) ? { ...policy, [name]: false } : misused(`no part is named ${name}`)),
+        (policy, name) =>
+          isPolicyPart(name) ? { ...policy, [name]: false } : failUsage(`--without: unknown part ${name}`),
         usualPolicy,
       );
 
   command.action(async (path: string, { seeds: seedsText, without, ablate }: Flags) => {
     const seeds = seedsOf(seedsText);
     const policy = policyOf(without);
-    const read = readExperiment(path);
-    read.ifLeft(fail);
-    if (read.isLeft()) return;
-    const experiment = read.unsafeCoerce();
-    print('| policy | worth (least to most) | worst 2 s | worst class | late, % | failed, % | busiest | read |');
-    print('| --- | --- | --- | --- | --- | --- | --- | --- |');
-    const all = without === '' ? 'all of it' : `without ${without}`;
-    print(rowOf(all, await playSeeds(experiment, seeds, policy)));
+    const result = readExperiment(path);
+    result.ifLeft(fail);
+    if (result.isLeft()) return;
+    const experiment = result.unsafeCoerce();
+    printLine('| policy | worth (least to most) | worst 2 s | worst class | late, % | failed, % | busiest | read |');
+    printLine('| --- | --- | --- | --- | --- | --- | --- | --- |');
+    const policyName = without === '' ? 'whole policy' : `without ${without}`;
+    printLine(rowOf(policyName, await playSeeds(experiment, seeds, policy)));
     if (!ablate) return;
     for (const part of policyParts)
-      print(rowOf(`without ${part}`, await playSeeds(experiment, seeds, policyWithout(part))));
+      printLine(rowOf(`without ${part}`, await playSeeds(experiment, seeds, policyWithout(part))));
   });
 };
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -4,32 +4,34 @@
 
 type ExplainFlags = { readonly node?: string; readonly journal?: string; readonly json?: boolean };
 
-/** Why an exchange went where it went, from a node or from a journal that was saved. */
+/** Adds `explain` and `journal`: the routing decisions for an exchange, from a router or from a saved journal. */
 export const addExplainCommand = (program: Command): void => {
   const explain = program
     .command('explain <exchange>')
-    .description('why an exchange went where it went, was refused, tried again, carried over or held')
+    .description(
+      'explain why an exchange was routed to its server, refused, retried, resumed on another server or held',
+    )
     .option('--node <ip:port>', 'the HTTP address of the router that served it')
-    .option('--journal <file>', 'a journal that was saved (- for standard input)')
-    .option('--json', 'print the story as JSON');
+    .option('--journal <file>', 'a saved journal (- for standard input)')
+    .option('--json', 'print the trace as JSON');
   explain.action(async (exchange: string, { node, journal, json }: ExplainFlags) => {
     if ((node === undefined) === (journal === undefined)) {
-      explain.error('error: give either --node or --journal', { exitCode: 2 });
+      explain.error('error: specify exactly one of --node and --journal', { exitCode: 2 });
       return;
     }
     const { storyAt, storyIn } = await import('./find-story.js');
     const { explainStory } = await import('../router/explain/explain-story.js');
-    const story =
+    const trace =
       node === undefined ? EitherAsync.liftEither(storyIn(journal ?? '-', exchange)) : storyAt(node, exchange);
-    (await story.run()).ifLeft(fail).ifRight((found) => {
-      if (json === true) print(found);
-      else process.stdout.write(`${explainStory(found).join('\n')}\n`);
+    (await trace.run()).ifLeft(fail).ifRight((exchangeTrace) => {
+      if (json === true) print(exchangeTrace);
+      else process.stdout.write(`${explainStory(exchangeTrace).join('\n')}\n`);
     });
   });
 
   program
     .command('journal')
-    .description("print a router's journal of exchanges, to be saved and explained later")
+    .description("print a router's journal of exchanges, which can be saved and passed to explain --journal")
     .requiredOption('--node <ip:port>', 'the HTTP address of the router')
     .action(async ({ node }: { readonly node: string }) => {
       const { journalAt } = await import('./find-story.js');
--- a/src/cli/find-story.ts
+++ b/src/cli/find-story.ts
@@ -7,14 +7,16 @@
 import { storySchema } from '../router/explain/story-schema.js';
 import { httpCall, httpText } from './http-call.js';
 
-/** The story that a node keeps of an exchange. */
+/** Fetches the trace of an exchange from a router; fails with `unknown-exchange` if the router has none. */
 export const storyAt = (node: string, exchange: string): EitherAsync<TypedError, ExchangeStory> =>
   httpCall({ method: 'GET', address: node, path: `/explain/${encodeURIComponent(exchange)}` }).chain(
     ({ status, body }) =>
       EitherAsync.liftEither(
         status === 200
-          ? checked(storySchema, body).mapLeft((faults) => typedError('bad-message', 'the story does not hold', faults))
-          : Left(typedError('unknown-exchange', `${node} keeps no story of ${exchange}`)),
+          ? checked(storySchema, body).mapLeft((faults) =>
+              typedError('bad-message', 'invalid trace in the response', faults),
+            )
+          : Left(typedError('unknown-exchange', `${node} has no trace of exchange ${exchange}`)),
       ),
   );
 
@@ -26,17 +28,17 @@
   }
 };
 
-/** The story of an exchange in a saved journal. */
+/** Reads the trace of an exchange from a saved journal; `-` is standard input. */
 export const storyIn = (path: string, exchange: string): Either<TypedError, ExchangeStory> =>
   readText(path)
     .chain(readJournal)
-    .chain((stories) => {
-      const story = stories.find((known) => known.exchange === exchange);
-      return story === undefined
-        ? Left(typedError('unknown-exchange', `${path} holds no story of ${exchange}`))
-        : Right(story);
+    .chain((traces) => {
+      const trace = traces.find((candidate) => candidate.exchange === exchange);
+      return trace === undefined
+        ? Left(typedError('unknown-exchange', `${path} has no trace of exchange ${exchange}`))
+        : Right(trace);
     });
 
-/** A router's journal as text, looked at before it is given. */
+/** Fetches the journal of a router as text, after validating it. */
 export const journalAt = (node: string): EitherAsync<TypedError, string> =>
   httpText(node, '/journal').chain((text) => EitherAsync.liftEither(readJournal(text).map(() => text)));
--- a/src/cli/http-call.ts
+++ b/src/cli/http-call.ts
@@ -3,13 +3,14 @@
 import { toMillis, type Micros } from '../common/micros.js';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
 
-/** An HTTP answer with its JSON body. */
+/** An HTTP response with a JSON body. */
 export type HttpReceipt = {
   readonly status: number;
   readonly etag: string | undefined;
   readonly body: unknown;
 };
 
+/** An HTTP request to the node at an `ip:port` address. */
 export type HttpCall = {
   readonly method: 'GET' | 'PUT' | 'DELETE' | 'POST';
   readonly address: string;
@@ -18,35 +19,37 @@
   readonly body?: string;
 };
 
-const budgetUs: Micros = 10_000_000;
+const timeoutUs: Micros = 10_000_000;
 
-/** Calls a node over HTTP. */
+/**
+ * Sends a request to a node. Any status is a result; fails with `unreachable` if the connection fails or the body is not JSON.
+ */
 export const httpCall = ({ method, address, path, headers, body }: HttpCall): EitherAsync<TypedError, HttpReceipt> =>
   EitherAsync(async ({ throwE }) => {
     try {
-      const receipt = await request(`http://${address}${path}`, {
+      const response = await request(`http://${address}${path}`, {
         method,
         headers: { 'content-type': 'application/json', ...headers },
         body,
-        signal: AbortSignal.timeout(toMillis(budgetUs)),
+        signal: AbortSignal.timeout(toMillis(timeoutUs)),
       });
-      const parsedBody: unknown = await receipt.body.json();
-      const etag = receipt.headers['etag'];
-      return { status: receipt.statusCode, etag: typeof etag === 'string' ? etag : undefined, body: parsedBody };
+      const json: unknown = await response.body.json();
+      const etag = response.headers['etag'];
+      return { status: response.statusCode, etag: typeof etag === 'string' ? etag : undefined, body: json };
     } catch (thrown) {
       return throwE(typedError('unreachable', `${address}: ${messageOf(thrown)}`));
     }
   });
 
-/** Reads a text from a node over HTTP. */
+/** Fetches a text from a node; fails with `unreachable` for any status but 200. */
 export const httpText = (address: string, path: string): EitherAsync<TypedError, string> =>
   EitherAsync(async ({ throwE }) => {
     try {
-      const receipt = await request(`http://${address}${path}`, { signal: AbortSignal.timeout(toMillis(budgetUs)) });
-      const text = await receipt.body.text();
-      return receipt.statusCode === 200
+      const response = await request(`http://${address}${path}`, { signal: AbortSignal.timeout(toMillis(timeoutUs)) });
+      const text = await response.body.text();
+      return response.statusCode === 200
         ? text
-        : throwE(typedError('unreachable', `${address}${path}: status ${receipt.statusCode}`));
+        : throwE(typedError('unreachable', `${address}${path}: status ${response.statusCode}`));
     } catch (thrown) {
       return throwE(typedError('unreachable', `${address}: ${messageOf(thrown)}`));
     }
--- a/src/cli/known-scenarios.ts
+++ b/src/cli/known-scenarios.ts
@@ -1,7 +1,10 @@
-/** What a scenario is called in the help of the command, without the scenario itself. */
+/**
+ * The name and description of a scenario for the help text. They are listed here so that the help does not load the scenarios;
+ * a test compares both lists.
+ */
 export type KnownScenario = { readonly name: string; readonly about: string };
 
-/** The scenarios with real processes. */
+/** The scenarios that run real processes. */
 export const knownScenarios: readonly KnownScenario[] = [
   { name: 'short', about: 'a small fleet for a few seconds: one server joins, one leaves, the setup changes' },
   { name: 'steady', about: 'the whole deployment: servers join and leave, the setup changes' },
@@ -34,7 +37,7 @@
   { name: 'soak', about: 'troubles drawn by the seed, two or three at a time, on a small fleet' },
 ];
 
-/** The scenarios in virtual time. */
+/** The scenarios that run the state machines in virtual time. */
 export const knownSimScenarios: readonly KnownScenario[] = [
   {
     name: 'core',
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -8,7 +8,7 @@
 import { addRunCommands } from './run-commands.js';
 
 const program = new Command('ledgehill')
-  .description('a router fleet that books new model servers onto a shared time line')
+  .description('a router fleet for language models that schedules the warm-up and entry of new servers')
   .version('0.1.0');
 
 addRunCommands(program);
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -15,19 +15,19 @@
     }
   });
 
-/** The setup that a file of objects describes. */
-const converted = (path: string): EitherAsync<TypedError, Setup> =>
+/** Converts a file of Kubernetes-style objects to a setup. */
+const convertFile = (path: string): EitherAsync<TypedError, Setup> =>
   readText(path).chain((text) =>
     EitherAsync(async ({ liftEither }) => {
       const { convertObjects } = await import('../setup/objects/convert-objects.js');
       return liftEither(
-        convertObjects(text).mapLeft((faults) => typedError('invalid-setup', 'the objects do not hold', faults)),
+        convertObjects(text).mapLeft((faults) => typedError('invalid-setup', 'invalid setup objects', faults)),
       );
     }),
   );
 
-/** Prints what a node answered; the exit is 0 for done, 3 for unknown, 1 for anything else. */
-const show = async (call: EitherAsync<TypedError, HttpCall>): Promise<void> => {
+/** Sends a request and prints the response body. The exit code is 0 for status 200, 3 for 202 (outcome unknown), else 1. */
+const sendAndPrint = async (call: EitherAsync<TypedError, HttpCall>): Promise<void> => {
   const { httpCall } = await import('./http-call.js');
   (await call.chain(httpCall).run()).ifLeft(fail).ifRight(({ status, body }) => {
     print(body);
@@ -35,25 +35,25 @@
   });
 };
 
-const calling = (call: HttpCall): EitherAsync<TypedError, HttpCall> => EitherAsync.liftEither(Right(call));
+const requestOf = (call: HttpCall): EitherAsync<TypedError, HttpCall> => EitherAsync.liftEither(Right(call));
 
-/** Operators' commands: the setup and the list of servers. */
+/** Adds the commands of operators: `setup` and `list`. */
 export const addOperatorCommands = (program: Command): void => {
-  const setup = program.command('setup').description('read and change the setup of the fleet');
+  const setup = program.command('setup').description('read and change the configuration (setup) of the fleet');
   setup
     .command('get')
-    .description('read the newest setup')
-    .requiredOption('--control <ip:port>', 'the HTTP address of a core machine')
+    .description('print the current setup')
+    .requiredOption('--control <ip:port>', 'the HTTP address of a control node')
     .action(({ control }: { readonly control: string }) =>
-      show(calling({ method: 'GET', address: control, path: '/operator/setup' })),
+      sendAndPrint(requestOf({ method: 'GET', address: control, path: '/operator/setup' })),
     );
   setup
     .command('put <file>')
-    .description('send a whole setup (JSON; - for standard input)')
-    .requiredOption('--control <ip:port>', 'the HTTP address of a core machine')
+    .description('replace the setup (JSON; - for standard input)')
+    .requiredOption('--control <ip:port>', 'the HTTP address of a control node')
     .option('--objects', 'the file holds Kubernetes-style objects (YAML or JSON, several documents)')
-    .option('--expect <revision>', 'only if this revision is still the newest; 0 for none')
-    .option('--proposal <id>', 'the id to ask after the proposal by')
+    .option('--expect <revision>', 'apply only if this is the current revision; 0 if there is none')
+    .option('--proposal <id>', 'the id of this proposal, for setup ask and setup withdraw')
     .action(
       (
         file: string,
@@ -64,59 +64,62 @@
           readonly proposal?: string;
         },
       ) =>
-        show(
-          (flags.objects === true ? converted(file).map((made) => JSON.stringify(made)) : readText(file)).map(
-            (body) => ({
-              method: 'PUT',
-              address: flags.control,
-              path: '/operator/setup',
-              body,
-              headers: {
-                ...(flags.expect === undefined ? {} : { 'if-match': `"${flags.expect}"` }),
-                ...(flags.proposal === undefined ? {} : { 'proposal-id': flags.proposal }),
-              },
-            }),
-          ),
+        sendAndPrint(
+          (flags.objects === true
+            ? convertFile(file).map((converted) => JSON.stringify(converted))
+            : readText(file)
+          ).map((body) => ({
+            method: 'PUT',
+            address: flags.control,
+            path: '/operator/setup',
+            body,
+            headers: {
+              ...(flags.expect === undefined ? {} : { 'if-match': `"${flags.expect}"` }),
+              ...(flags.proposal === undefined ? {} : { 'proposal-id': flags.proposal }),
+            },
+          })),
         ),
     );
   setup
     .command('convert <file>')
     .description(
-      'make a setup of Kubernetes-style objects (YAML or JSON, several documents; - for standard input) and print it',
+      'convert Kubernetes-style objects (YAML or JSON, several documents; - for standard input) to a setup and print it',
     )
     .action(async (file: string) => {
-      (await converted(file).run()).ifLeft(fail).ifRight(print);
+      (await convertFile(file).run()).ifLeft(fail).ifRight(print);
     });
   setup
     .command('ask <proposal>')
-    .description('ask what became of a proposal')
-    .requiredOption('--control <ip:port>', 'the HTTP address of a core machine')
+    .description('print the outcome of a proposal')
+    .requiredOption('--control <ip:port>', 'the HTTP address of a control node')
     .action((proposal: string, { control }: { readonly control: string }) =>
-      show(calling({ method: 'GET', address: control, path: `/operator/proposals/${encodeURIComponent(proposal)}` })),
+      sendAndPrint(
+        requestOf({ method: 'GET', address: control, path: `/operator/proposals/${encodeURIComponent(proposal)}` }),
+      ),
     );
   setup
     .command('withdraw <proposal>')
-    .description('end the doubt about a proposal: it is decided by then, or never will be taken')
-    .requiredOption('--control <ip:port>', 'the HTTP address of a core machine')
+    .description('settle a proposal of unknown outcome: afterwards it is either decided or can never be committed')
+    .requiredOption('--control <ip:port>', 'the HTTP address of a control node')
     .action((proposal: string, { control }: { readonly control: string }) =>
-      show(
-        calling({ method: 'DELETE', address: control, path: `/operator/proposals/${encodeURIComponent(proposal)}` }),
+      sendAndPrint(
+        requestOf({ method: 'DELETE', address: control, path: `/operator/proposals/${encodeURIComponent(proposal)}` }),
       ),
     );
 
-  const list = program.command('list').description("read and send the platform's list of servers");
+  const list = program.command('list').description("read and send the platform's server list");
   list
     .command('get')
-    .description('read the list that a node knows')
+    .description('print the server list known to a node')
     .requiredOption('--node <ip:port>', 'the HTTP address of any node')
     .action(({ node }: { readonly node: string }) =>
-      show(calling({ method: 'GET', address: node, path: '/platform/list' })),
+      sendAndPrint(requestOf({ method: 'GET', address: node, path: '/platform/list' })),
     );
   list
     .command('put <file>')
-    .description('send a list to a node (JSON; - for standard input)')
+    .description('send a server list to a node (JSON; - for standard input)')
     .requiredOption('--node <ip:port>', 'the HTTP address of any node')
     .action((file: string, { node }: { readonly node: string }) =>
-      show(readText(file).map((body) => ({ method: 'PUT', address: node, path: '/platform/list', body }))),
+      sendAndPrint(readText(file).map((body) => ({ method: 'PUT', address: node, path: '/platform/list', body }))),
     );
 };
--- a/src/cli/rehearse-command.ts
+++ b/src/cli/rehearse-command.ts
@@ -14,51 +14,55 @@
   readonly seeds: string;
 };
 
-const wholeForm = /^\d{1,9}$/;
+const wholeNumberPattern = /^\d{1,9}$/;
 
-const listed = (items: readonly { readonly name: string; readonly about: string }[]): string =>
+const helpListOf = (items: readonly { readonly name: string; readonly about: string }[]): string =>
   items.map((item) => `  ${item.name}: ${item.about}`).join('\n');
 
-const tell = (line: string): void => void process.stderr.write(`${line}\n`);
+const report = (line: string): void => void process.stderr.write(`${line}\n`);
 
-/** Rehearses the system with real processes on this machine, or its machines in virtual time. */
+/** Adds `rehearse`: runs a test scenario with real processes on this host, or with the state machines in virtual time. */
 export const addRehearseCommand = (program: Command): void => {
   const command = program
     .command('rehearse')
-    .description('start a whole fleet on this machine, play a scenario against it and check every rule')
+    .description('start a whole fleet on this host, run a test scenario on it and check every rule')
     .addOption(
-      new Option('--scenario <name>', 'which scenario')
+      new Option('--scenario <name>', 'the scenario')
         .choices(knownScenarios.map((scenario) => scenario.name))
         .default('short'),
     )
     .addOption(
-      new Option('--deployment <name>', 'which deployment of the brief')
+      new Option('--deployment <name>', 'the deployment whose sizes, rates and setup are used')
         .choices([...knownDeployments])
         .default('cuenca'),
     )
-    .option('--seconds <count>', 'how long traffic runs, from 5 to 3600')
-    .option('--seed <number>', 'the seed of all chance', '1')
-    .option('--keep', 'keep the folder with settings, logs and data')
+    .option('--seconds <count>', 'the duration of the traffic, 5 to 3600; default depends on the scenario')
+    .option('--seed <number>', 'the seed of the random number generator', '1')
+    .option('--keep', 'do not delete the folder with settings, logs and data')
     .addOption(
-      new Option('--virtual <name>', 'play the state machines in virtual time instead').choices(
+      new Option('--virtual <name>', 'run the state machines in virtual time instead').choices(
         knownSimScenarios.map((scenario) => scenario.name),
       ),
     )
-    .option('--seeds <first-last>', 'the seeds that are played in virtual time', '1-20')
-    .addHelpText('after', `\nScenarios:\n${listed(knownScenarios)}\n\nIn virtual time:\n${listed(knownSimScenarios)}`);
-  const misused = (message: string): never =>
+    .option('--seeds <first-last>', 'the seeds for virtual time', '1-20')
+    .addHelpText(
+      'after',
+      `\nScenarios:\n${helpListOf(knownScenarios)}\n\nIn virtual time:\n${helpListOf(knownSimScenarios)}`,
+    );
+  const failUsage = (message: string): never =>
     command.error(`error: ${message}\n\n${command.helpInformation()}`, { exitCode: 2 });
 
   command.action(async (flags: RehearseFlags) => {
     if (flags.virtual !== undefined) {
       const { simScenarios } = await import('../sim/sim-scenarios.js');
       const virtualScenario =
-        simScenarios.find((known) => known.name === flags.virtual) ?? misused(`no scenario is named ${flags.virtual}`);
-      const seeds = parseSeeds(flags.seeds) ?? misused('--seeds must be one seed or first-last');
-      const sum = await playVirtual(virtualScenario, seeds, tell);
-      print(sum);
-      if (sum.brokenSeeds.length > 0)
-        fail(typedError('rule-broken', `${sum.brokenSeeds.length} of ${sum.seeds} seeds break a rule`));
+        simScenarios.find((candidate) => candidate.name === flags.virtual) ??
+        failUsage(`unknown virtual scenario ${flags.virtual}`);
+      const seeds = parseSeeds(flags.seeds) ?? failUsage('--seeds must be a number or a range such as 1-20');
+      const summary = await playVirtual(virtualScenario, seeds, report);
+      print(summary);
+      if (summary.brokenSeeds.length > 0)
+        fail(typedError('rule-broken', `rules violated by ${summary.brokenSeeds.length} of ${summary.seeds} seeds`));
       return;
     }
     const { deployments } = await import('../rehearsal/deployment/deployments.js');
@@ -66,11 +70,12 @@
     const { scenarios } = await import('../rehearsal/run/scenarios.js');
     const { summaryOf } = await import('../rehearsal/run/summary.js');
     const scenario =
-      scenarios.find((known) => known.name === flags.scenario) ?? misused(`no scenario is named ${flags.scenario}`);
-    if (!wholeForm.test(flags.seed)) misused('--seed must be a whole number');
+      scenarios.find((candidate) => candidate.name === flags.scenario) ??
+      failUsage(`unknown scenario ${flags.scenario}`);
+    if (!wholeNumberPattern.test(flags.seed)) failUsage('--seed must be a whole number');
     const seconds = flags.seconds ?? String(scenario.seconds);
-    if (!(wholeForm.test(seconds) && Number(seconds) >= 5 && Number(seconds) <= 3600))
-      misused('--seconds must be a whole number from 5 to 3600');
+    if (!(wholeNumberPattern.test(seconds) && Number(seconds) >= 5 && Number(seconds) <= 3600))
+      failUsage('--seconds must be a whole number from 5 to 3600');
     for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(130));
     const end = await rehearse({
       deployment: deployments[flags.deployment],
@@ -78,11 +83,12 @@
       seconds: Number(seconds),
       seed: Number(flags.seed),
       keepFolder: flags.keep === true,
-      tell,
+      tell: report,
     }).run();
     end.ifLeft(fail).ifRight((rehearsalEnd) => {
       print(summaryOf(rehearsalEnd));
-      if (rehearsalEnd.findings.length > 0) fail(typedError('rule-broken', `${rehearsalEnd.findings.length} findings`));
+      if (rehearsalEnd.findings.length > 0)
+        fail(typedError('rule-broken', `${rehearsalEnd.findings.length} findings in the rehearsal`));
     });
     process.exit();
   });
--- a/src/cli/run-commands.ts
+++ b/src/cli/run-commands.ts
@@ -15,7 +15,8 @@
   readonly ringFileBytes?: number;
 };
 
-const given = (flags: NodeFlags, names: readonly (keyof NodeFlags)[]): object =>
+/** The named flags that are present, by their setting names. */
+const settingsOf = (flags: NodeFlags, names: readonly (keyof NodeFlags)[]): object =>
   Object.fromEntries(
     names.flatMap((name) => {
       const value = flags[name];
@@ -23,53 +24,58 @@
     }),
   );
 
-const collect = (seed: string, seeds: readonly string[] | undefined): readonly string[] => [...(seeds ?? []), seed];
+const appendSeed = (seed: string, seeds: readonly string[] | undefined): readonly string[] => [...(seeds ?? []), seed];
 
-const withNodeFlags = (command: Command): Command =>
+const addNodeFlags = (command: Command): Command =>
   command
-    .option('-s, --settings <file>', 'a settings file (JSON); flags go before it')
+    .option('-s, --settings <file>', 'a settings file (JSON); flags override its values')
     .option('--node <name>', 'the name of this node')
     .option('--locality <name>', 'the locality of this node')
-    .option('--http <ip:port>', 'where callers, operators and the platform reach it')
-    .option('--partners <ip:port>', 'where its partners reach it')
-    .option('--partners-listen <ip:port>', 'where it listens for them, if that differs')
-    .addOption(new Option('--seed <ip:port>', 'a seed address; give three').argParser(collect));
+    .option('--http <ip:port>', 'the address on which clients, operators and the platform reach this node')
+    .option('--partners <ip:port>', 'the address on which its peers reach this node')
+    .option('--partners-listen <ip:port>', 'the address on which it listens for peers, if different')
+    .addOption(
+      new Option('--seed <ip:port>', 'a seed address; repeat the flag, three seeds are recommended').argParser(
+        appendSeed,
+      ),
+    );
 
-const nodeNames: readonly (keyof NodeFlags)[] = ['node', 'locality', 'http', 'partners', 'partnersListen', 'seed'];
+const nodeFlagNames: readonly (keyof NodeFlags)[] = ['node', 'locality', 'http', 'partners', 'partnersListen', 'seed'];
 
-const finish = async (run: EitherAsync<Parameters<typeof fail>[0], void>): Promise<void> => {
+/** Runs a node until it ends, and then exits the process. */
+const runAndExit = async (run: EitherAsync<Parameters<typeof fail>[0], void>): Promise<void> => {
   (await run.run()).ifLeft(fail);
   process.exit();
 };
 
-/** The two kinds of process. */
+/** Adds `router` and `control`, which run a node of the fleet. */
 export const addRunCommands = (program: Command): void => {
-  withNodeFlags(program.command('router').description('run a router node')).action(async (flags: NodeFlags) => {
+  addNodeFlags(program.command('router').description('run a router node')).action(async (flags: NodeFlags) => {
     const { runRouter } = await import('../process/run-router.js');
     const { checkRouterSettings, readSettingsFile } = await import('../process/settings/check-settings.js');
-    await finish(
+    await runAndExit(
       EitherAsync.liftEither(
         readSettingsFile(flags.settings).chain((settings) =>
-          checkRouterSettings({ ...settings, ...given(flags, nodeNames) }),
+          checkRouterSettings({ ...settings, ...settingsOf(flags, nodeFlagNames) }),
         ),
       ).chain(runRouter),
     );
   });
-  withNodeFlags(program.command('control').description('run a core machine'))
+  addNodeFlags(program.command('control').description('run a control node'))
     .option('--data <folder>', 'the data folder')
-    .option('--ring-files <count>', 'how many files the disk ring has', Number)
-    .option('--ring-file-bytes <bytes>', 'how large each of them is', Number)
+    .option('--ring-files <count>', 'the number of files of the disk ring', Number)
+    .option('--ring-file-bytes <bytes>', 'the size of each ring file', Number)
     .action(async (flags: NodeFlags) => {
       const { runControl } = await import('../process/run-control.js');
       const { checkControlSettings, readSettingsFile } = await import('../process/settings/check-settings.js');
-      await finish(
+      await runAndExit(
         EitherAsync.liftEither(
           readSettingsFile(flags.settings).chain((settings) =>
             checkControlSettings({
               ringFiles: 3,
               ringFileBytes: 16 << 20,
               ...settings,
-              ...given(flags, [...nodeNames, 'data', 'ringFiles', 'ringFileBytes']),
+              ...settingsOf(flags, [...nodeFlagNames, 'data', 'ringFiles', 'ringFileBytes']),
             }),
           ),
         ).chain(runControl),
--- a/tests/cli/known-scenarios.test.ts
+++ b/tests/cli/known-scenarios.test.ts
@@ -8,7 +8,7 @@
 const namesOf = (items: readonly { readonly name: string; readonly about: string }[]) =>
   items.map(({ name, about }) => ({ name, about }));
 
-test('the command names exactly the scenarios and deployments that there are', () => {
+test('the help lists exactly the existing scenarios and deployments', () => {
   assert.equal(knownScenarios, namesOf(scenarios));
   assert.equal(knownSimScenarios, namesOf(simScenarios));
   assert.equal(knownDeployments, Object.keys(deployments));
