--- a/src/cli/experiment-command.ts
+++ b/src/cli/experiment-command.ts
@@ -26,7 +26,7 @@
   }
 };
 
-const isPolicyPart = (name: string): name is keyof DecisionPolicy => policyParts.some((part) => part === name);
+const isPart = (name: string): name is keyof DecisionPolicy => policyParts.some((part) => part === name);
 
 const printLine = (line: string): void => void process.stdout.write(`${line}\n`);
 
@@ -77,8 +77,7 @@
       .split(',')
       .filter((name) => name !== '')
       .reduce<DecisionPolicy>(
-        (policy, name) =>
-          isPolicyPart(name) ? { ...policy, [name]: false } : failUsage(`--without: unknown part ${name}`),
+        (policy, name) => (isPart(name) ? { ...policy, [name]: false } : failUsage(`unknown part ${name}`)),
         usualPolicy,
       );
 
--- a/src/common/clock/within.ts
+++ b/src/common/clock/within.ts
@@ -3,9 +3,9 @@
 
 /** Resolves or rejects as the promise does; resolves to undefined if it takes longer than the timeout. */
 export const within = <T>(clock: Clock, promise: Promise<T>, timeoutUs: Micros): Promise<T | undefined> => {
-  let takeBack = (): void => undefined;
+  let cancel = (): void => undefined;
   const expired = new Promise<undefined>((resolve) => {
-    takeBack = clock.after(timeoutUs, () => resolve(undefined));
+    cancel = clock.after(timeoutUs, () => resolve(undefined));
   });
-  return Promise.race([promise, expired]).finally(() => takeBack());
+  return Promise.race([promise, expired]).finally(() => cancel());
 };
--- a/src/setup/check/tenant-faults.ts
+++ b/src/setup/check/tenant-faults.ts
@@ -35,7 +35,7 @@
   const tierFaults = tenants.flatMap(({ tier }, index) =>
     tier === undefined || knownTiers.has(tier)
       ? []
-      : [{ path: `tenants[${index}].tier`, message: `no tier is firstIndex ${tier}` }],
+      : [{ path: `tenants[${index}].tier`, message: `no tier is named ${tier}` }],
   );
   return [...tierFaults, ...tenantIdentityFaults(tenants)];
 };
