--- a/src/cli/experiment-command.ts
+++ b/src/cli/experiment-command.ts
@@ -55,7 +55,10 @@
   return `| ${cells.join(' | ')} |`;
 };
 
-/** Adds `experiment`: simulates routers, servers and clients in virtual time, with the whole policy or without parts of it. */
+/**
+ * Adds `experiment`: simulates routers, servers and clients in virtual time, with the whole policy or without parts of
+ * it.
+ */
 export const addExperimentCommand = (program: Command): void => {
   const command = program
     .command('experiment')
--- a/src/cli/http-call.ts
+++ b/src/cli/http-call.ts
@@ -22,7 +22,8 @@
 const timeoutUs: Micros = 10_000_000;
 
 /**
- * Sends a request to a node. Any status is a result; fails with `unreachable` if the connection fails or the body is not JSON.
+ * Sends a request to a node. Any status is a result; fails with `unreachable` if the connection fails or the body is
+ * not JSON.
  */
 export const httpCall = ({ method, address, path, headers, body }: HttpCall): EitherAsync<TypedError, HttpReceipt> =>
   EitherAsync(async ({ throwE }) => {
--- a/src/cli/known-scenarios.ts
+++ b/src/cli/known-scenarios.ts
@@ -1,6 +1,6 @@
 /**
- * The name and description of a scenario for the help text. They are listed here so that the help does not load the scenarios;
- * a test compares both lists.
+ * The name and description of a scenario for the help text. They are listed here so that the help does not load the
+ * scenarios; a test compares both lists.
  */
 export type KnownScenario = { readonly name: string; readonly about: string };
 
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -26,7 +26,9 @@
     }),
   );
 
-/** Sends a request and prints the response body. The exit code is 0 for status 200, 3 for 202 (outcome unknown), else 1. */
+/**
+ * Sends a request and prints the response body. The exit code is 0 for status 200, 3 for 202 (outcome unknown), else 1.
+ */
 const sendAndPrint = async (call: EitherAsync<TypedError, HttpCall>): Promise<void> => {
   const { httpCall } = await import('./http-call.js');
   (await call.chain(httpCall).run()).ifLeft(fail).ifRight(({ status, body }) => {
--- a/src/cli/play-virtual.ts
+++ b/src/cli/play-virtual.ts
@@ -13,7 +13,10 @@
   return match !== null && last >= first ? { first, last } : undefined;
 };
 
-/** Runs a scenario for every seed; reports each violated rule with the command that reproduces it, and returns a summary. */
+/**
+ * Runs a scenario for every seed; reports each violated rule with the command that reproduces it, and returns a
+ * summary.
+ */
 export const playVirtual = async (
   scenario: SimScenario,
   { first, last }: SeedRange,
--- a/src/cli/rehearse-command.ts
+++ b/src/cli/rehearse-command.ts
@@ -21,7 +21,9 @@
 
 const report = (line: string): void => void process.stderr.write(`${line}\n`);
 
-/** Adds `rehearse`: runs a test scenario with real processes on this host, or with the state machines in virtual time. */
+/**
+ * Adds `rehearse`: runs a test scenario with real processes on this host, or with the state machines in virtual time.
+ */
 export const addRehearseCommand = (program: Command): void => {
   const command = program
     .command('rehearse')
--- a/src/common/bounded-map.ts
+++ b/src/common/bounded-map.ts
@@ -2,8 +2,8 @@
 import { emptyMap, type PersistentMap } from './persistent-map.js';
 
 /**
- * A persistent map of bounded size with first-in, first-out eviction. A change costs O(log n) and returns a new map; the
- * previous map is unchanged.
+ * A persistent map of bounded size with first-in, first-out eviction. A change costs O(log n) and returns a new map;
+ * the previous map is unchanged.
  */
 export type BoundedMap<K, V> = {
   readonly entries: PersistentMap<K, V>;
@@ -20,8 +20,8 @@
 export const emptyBoundedMap = <K, V>(): BoundedMap<K, V> => ({ entries: emptyMap<K, V>(), order: List<K>() });
 
 /**
- * Sets an entry. A new key is appended to the order and evicts the oldest key when the map is at its capacity; an existing
- * key keeps its position.
+ * Sets an entry. A new key is appended to the order and evicts the oldest key when the map is at its capacity; an
+ * existing key keeps its position.
  */
 export const remember = <K, V>(map: BoundedMap<K, V>, key: K, value: V, capacity: number): BoundedChange<K, V> => {
   const isKnown = map.entries.has(key);
--- a/src/common/clock/every.ts
+++ b/src/common/clock/every.ts
@@ -2,8 +2,8 @@
 import type { Clock } from './clock.js';
 
 /**
- * The time until the next whole multiple of an interval on the monotonic clock. If less than half an interval is left, the
- * multiple after that is used, since a timer that fired slightly early must not fire twice for one multiple.
+ * The time until the next whole multiple of an interval on the monotonic clock. If less than half an interval is left,
+ * the multiple after that is used, since a timer that fired slightly early must not fire twice for one multiple.
  */
 export const untilNextMultiple = (nowUs: Micros, span: Micros): Micros => {
   const leftUs = span - (nowUs % span);
--- a/src/common/clock/time-bound.ts
+++ b/src/common/clock/time-bound.ts
@@ -10,8 +10,8 @@
 export const mostDrift = 500;
 
 /**
- * A longer step of the clock does not count as elapsed time: a process that was suspended can not be told from a clock that
- * jumped.
+ * A step of the clock of this length or more does not count as elapsed time, since a suspended process can not be told
+ * from a clock that jumped.
  */
 export const longestStepUs: Micros = 700_000;
 
--- a/src/common/typed-error.ts
+++ b/src/common/typed-error.ts
@@ -1,7 +1,9 @@
 import type { Fault } from './fault.js';
 import type { ErrorType } from './error-type.js';
 
-/** The form of every error that is returned as a value: a stable code, a readable message, and validation faults if any. */
+/**
+ * The form of every error that is returned as a value: a stable code, a readable message, and validation faults if any.
+ */
 export type TypedError = {
   readonly type: ErrorType;
   readonly message: string;
--- a/src/disk/data-folder.ts
+++ b/src/disk/data-folder.ts
@@ -10,8 +10,8 @@
 };
 
 /**
- * The data folder of a process. A new file survives a power failure only after the folder itself has been synced, even if the
- * contents of the file were synced before.
+ * The data folder of a process. A new file survives a power failure only after the folder itself has been synced, even
+ * if the contents of the file were synced before.
  */
 export type DataFolder = {
   /** Creates the folder, and its missing parents, unless it exists. */
--- a/src/disk/disk-ring.ts
+++ b/src/disk/disk-ring.ts
@@ -14,15 +14,15 @@
 };
 
 /**
- * A write-ahead log over a ring of preallocated files. Each rotation writes a snapshot to the next file, which starts a new
- * generation and replaces all older files. A record is durable once `append` has resolved to Right.
+ * A write-ahead log over a ring of preallocated files. Each rotation writes a snapshot to the next file, which starts a
+ * new generation and replaces all older files. A record is durable once `append` has resolved to Right.
  */
 export type DiskRing = {
   readonly recovered: Recovered;
   /**
-   * Appends and syncs one record. If the file is full, rotates to the next file instead; the snapshot written there must
-   * include the record. A `disk-refusal` error leaves the ring unchanged and may be temporary: the same
-   * record may be appended again.
+   * Appends and syncs one record. If the file is full, rotates to the next file instead; the snapshot written there
+   * must include the record. A `disk-refusal` error leaves the ring unchanged and may be temporary: the same record may
+   * be appended again.
    */
   readonly append: (record: Uint8Array, snapshot: () => Uint8Array) => Promise<Either<TypedError, void>>;
   readonly close: () => Promise<void>;
@@ -33,9 +33,9 @@
 const isWhole = (openFile: OpenFile): openFile is OpenFile<WholeContent> => openFile.content.type === 'whole';
 
 /**
- * The whole file of the newest generation, to which the ring appends. A rotation to another file begins only when the newest
- * file is whole and synced, and that file then holds everything that was acknowledged. Invalid content in a file of an older
- * generation is therefore the rest of an interrupted rotation; in the newest generation it is damage.
+ * The whole file of the newest generation, to which the ring appends. A rotation to another file begins only when the
+ * newest file is whole and synced, and that file then holds everything that was acknowledged. Invalid content in a file
+ * of an older generation is therefore the rest of an interrupted rotation; in the newest generation it is damage.
  */
 const newestOf = (openFiles: readonly OpenFile[]): Either<TypedError, OpenFile<WholeContent> | undefined> => {
   const [newestWhole] = openFiles
@@ -71,10 +71,11 @@
 const isInterrupted = ({ content }: OpenFile): boolean => content.type === 'unfinished' || content.type === 'damaged';
 
 /**
- * Makes the recovered state durable before it is used. A killed process leaves writes that can be read back but were never
- * synced: a node that acknowledges such a record and then loses power has lost an acknowledged record. An interrupted rotation
- * can leave a snapshot without its header: the header of the next rotation, which has the same generation, would make that
- * snapshot valid again, without the records acknowledged since. Such files are therefore cleared.
+ * Makes the recovered state durable before it is used. A killed process leaves writes that can be read back but were
+ * never synced: a node that acknowledges such a record and then loses power has lost an acknowledged record. An
+ * interrupted rotation can leave a snapshot without its header: the header of the next rotation, which has the same
+ * generation, would make that snapshot valid again, without the records acknowledged since. Such files are therefore
+ * cleared.
  */
 const makeDurable = async (
   newestFile: OpenFile | undefined,
@@ -92,7 +93,9 @@
   }
 };
 
-/** The ring that appends to the given newest file; without one the ring is empty, and the first append starts a file. */
+/**
+ * The ring that appends to the given newest file; without one the ring is empty, and the first append starts a file.
+ */
 const ringFrom = (
   files: readonly RingFile[],
   newestFile: OpenFile<WholeContent> | undefined,
@@ -153,9 +156,9 @@
 };
 
 /**
- * Opens a ring over its files and recovers every synced record. Everything recovered is durable. Files of an interrupted
- * rotation are cleared; all other files are left unchanged. Fails with `damaged-disk` if synced content is missing or invalid,
- * and with `disk-refusal` if the disk fails.
+ * Opens a ring over its files and recovers every synced record. Everything recovered is durable. Files of an
+ * interrupted rotation are cleared; all other files are left unchanged. Fails with `damaged-disk` if synced content is
+ * missing or invalid, and with `disk-refusal` if the disk fails.
  */
 export const openDiskRing = async (files: readonly RingFile[]): Promise<Either<TypedError, DiskRing>> => {
   const read = await readFiles(files);
--- a/src/disk/open-folder.ts
+++ b/src/disk/open-folder.ts
@@ -25,8 +25,8 @@
 };
 
 /**
- * Creates the files of a ring, and then the mark file. The folder is synced in between, so that after a power failure the mark
- * never exists without all ring files.
+ * Creates the files of a ring, and then the mark file. The folder is synced in between, so that after a power failure
+ * the mark never exists without all ring files.
  */
 const makeFiles = async (folder: DataFolder, sizes: RingSizes): Promise<void> => {
   for (const name of ringFileNames(sizes)) await preallocate(folder, name, sizes.fileBytes);
@@ -65,9 +65,9 @@
 };
 
 /**
- * Opens the ring in a data folder; creates its files first unless the mark shows that all of them exist. The folder is synced
- * at every start: a killed process may have left the mark unsynced, and if the mark were lost in a power failure, the next
- * start would overwrite the files.
+ * Opens the ring in a data folder; creates its files first unless the mark shows that all of them exist. The folder is
+ * synced at every start: a killed process may have left the mark unsynced, and if the mark were lost in a power
+ * failure, the next start would overwrite the files.
  */
 export const openRingIn = (
   folder: DataFolder,
--- a/src/disk/read-file.ts
+++ b/src/disk/read-file.ts
@@ -47,8 +47,8 @@
 };
 
 /**
- * Whether the first slot can be a header torn by a power failure: each byte is either zero or the expected byte of the header,
- * and the bytes after the header are zero. Any other content was written by another program.
+ * Whether the first slot can be a header torn by a power failure: each byte is either zero or the expected byte of the
+ * header, and the bytes after the header are zero. Any other content was written by another program.
  */
 const mayBeUnfinishedHead = (file: Buffer): boolean =>
   file.subarray(recordHeadBytes, headSlotBytes).every((byte, index) => byte === 0 || byte === (ringHead[index] ?? 0));
@@ -96,8 +96,9 @@
 };
 
 /**
- * Parses the content of a ring file. A torn tail that was never synced is dropped. The caller decides whether damage matters,
- * which depends on the other files of the ring; a file of another program or format version is always an error.
+ * Parses the content of a ring file. A torn tail that was never synced is dropped. The caller decides whether damage
+ * matters, which depends on the other files of the ring; a file of another program or format version is always an
+ * error.
  */
 export const readRingFile = (file: Buffer, name: string): Either<TypedError, FileContent> => {
   const head = decodeRecord(file, 0);
--- a/src/disk/record-format.ts
+++ b/src/disk/record-format.ts
@@ -16,7 +16,9 @@
 /** After the file header (64 bytes) and two slots of 64 bytes for the synced mark. */
 export const firstRecordOffset = 192;
 
-/** The payload of the file header. The number is the format version; it changes with any change of the on-disk format. */
+/**
+ * The payload of the file header. The number is the format version; it changes with any change of the on-disk format.
+ */
 export const ringHead = Buffer.from('ledgehill ring 2');
 
 /** The size of a record on disk: header and payload, padded to the alignment. */
--- a/src/setup/check/check-setup.ts
+++ b/src/setup/check/check-setup.ts
@@ -48,8 +48,8 @@
 };
 
 /**
- * Validates a setup from an operator and lists every fault with its path. Faults between fields are reported only if the setup
- * is valid against the schema.
+ * Validates a setup from an operator and lists every fault with its path. Faults between fields are reported only if
+ * the setup is valid against the schema.
  */
 export const checkSetup = (value: unknown): Either<readonly Fault[], Setup> =>
   checked(setupSchema, value).chain((setup) => {
--- a/src/setup/check/figures.ts
+++ b/src/setup/check/figures.ts
@@ -15,5 +15,7 @@
       '${path} must be 1 to 63 lower-case letters, digits or hyphens, and must not begin with a hyphen',
     );
 
-/** The maximum grace period of a leaving server; at this limit the server gets no new work after about three seconds. */
+/**
+ * The maximum grace period of a leaving server; at this limit the server gets no new work after about three seconds.
+ */
 export const mostGraceUs = 2_500_000;
--- a/src/setup/check/setup-guard.ts
+++ b/src/setup/check/setup-guard.ts
@@ -124,9 +124,9 @@
 });
 
 /**
- * Whether a value from another process of the fleet has the structure of a setup. The control node that receives a setup from
- * an operator validates it in full. After that a large setup passes through every process several times, where full validation
- * would be too slow: hand-written checks cover the structure only.
+ * Whether a value from another process of the fleet has the structure of a setup. The control node that receives a
+ * setup from an operator validates it in full. After that a large setup passes through every process several times,
+ * where full validation would be too slow: hand-written checks cover the structure only.
  */
 export const isSetup = (value: unknown): value is Setup => hasSetupFields(value);
 
--- a/src/setup/delta/encoded-record.ts
+++ b/src/setup/delta/encoded-record.ts
@@ -20,9 +20,9 @@
 const digestOf = (bytes: Uint8Array): string => createHash('sha256').update(bytes).digest('base64');
 
 /**
- * The encoding of a record between nodes: compressed JSON. Each record is encoded once, and a record received from another node
- * is forwarded in the bytes in which it arrived, so that the encoding cost of a change does not grow with the number of
- * recipients.
+ * The encoding of a record between nodes: compressed JSON. Each record is encoded once, and a record received from
+ * another node is forwarded in the bytes in which it arrived, so that the encoding cost of a change does not grow with
+ * the number of recipients.
  */
 export const encodedRecordOf = (record: SetupRecord): Uint8Array => {
   const cached = knownBytes.get(record);
--- a/src/setup/delta/list-edit.ts
+++ b/src/setup/delta/list-edit.ts
@@ -25,8 +25,8 @@
 };
 
 /**
- * Applies an edit script. Returns undefined if the script refers to items beyond the end of the old list, and the old list
- * itself if the script changes nothing.
+ * Applies an edit script. Returns undefined if the script refers to items beyond the end of the old list, and the old
+ * list itself if the script changes nothing.
  */
 export const withListEdits = <T>(oldList: readonly T[], edits: readonly ListEdit<T>[]): readonly T[] | undefined => {
   const [firstEdit] = edits;
--- a/src/setup/delta/record-delta.ts
+++ b/src/setup/delta/record-delta.ts
@@ -13,8 +13,8 @@
 export type SetupFigures = Omit<Setup, 'services' | 'tiers' | 'rules' | 'tenants'>;
 
 /**
- * Identifies one record. The revision alone is not unique: a core that lost all of its data may assign a revision again to
- * different content.
+ * Identifies one record. The revision alone is not unique: a core that lost all of its data may assign a revision again
+ * to different content.
  */
 export type RecordBase = { readonly revision: number; readonly digest: string };
 
@@ -55,8 +55,8 @@
 const figuresOf = (setup: Setup): SetupFigures => partsOf(setup).figures;
 
 /**
- * Splits the operator's text into the pieces by which it is compared. Each piece ends with a closing brace, as every item of a
- * list does.
+ * Splits the operator's text into the pieces by which it is compared. Each piece ends with a closing brace, as every
+ * item of a list does.
  */
 const piecesOf = (text: string): readonly string[] => text.split(/(?<=\})/);
 
@@ -109,8 +109,8 @@
 };
 
 /**
- * Applies a delta to its base record. Returns undefined if the record is not the base of the delta, or if the digest of the
- * result does not match. Unchanged items of lists are shared with the base, not copied.
+ * Applies a delta to its base record. Returns undefined if the record is not the base of the delta, or if the digest of
+ * the result does not match. Unchanged items of lists are shared with the base, not copied.
  */
 export const withRecordDelta = (base: SetupRecord, delta: RecordDelta): SetupRecord | undefined => {
   if (!isBase(base, delta.base)) return undefined;
--- a/src/setup/delta/record-digest.ts
+++ b/src/setup/delta/record-digest.ts
@@ -17,8 +17,8 @@
 };
 
 /**
- * A digest of a whole record, including the operator's text; equal for equal copies. The text of an item shared by two records
- * is cached, so the digest of a changed record costs one hash pass plus the serialization of the changed items.
+ * A digest of a whole record, including the operator's text; equal for equal copies. The text of an item shared by two
+ * records is cached, so the digest of a changed record costs one hash pass plus the serialization of the changed items.
  */
 export const recordDigestOf = (record: SetupRecord): string => {
   const cachedDigest = digestCache.get(record);
--- a/src/setup/document/canonical-text.ts
+++ b/src/setup/document/canonical-text.ts
@@ -33,9 +33,9 @@
 const itemTextCache = new WeakMap<object, string>();
 
 /**
- * The JSON of an immutable object with its keys in their given order; cached. Nodes pass copies of an item on without changing
- * the order of its keys. Equal items with another order of keys have different texts, so they are treated as changed, which
- * costs work but is never an error.
+ * The JSON of an immutable object with its keys in their given order; cached. Nodes pass copies of an item on without
+ * changing the order of its keys. Equal items with another order of keys have different texts, so they are treated as
+ * changed, which costs work but is never an error.
  */
 export const itemText = (value: object): string => {
   const cachedText = itemTextCache.get(value);
--- a/src/setup/match/rule-index.ts
+++ b/src/setup/match/rule-index.ts
@@ -45,8 +45,8 @@
 };
 
 /**
- * The rule for a host and a path by longest-prefix match among the rules of the host; undefined if none matches. Costs one
- * look-up for each distinct path length of the host, independent of the number of rules.
+ * The rule for a host and a path by longest-prefix match among the rules of the host; undefined if none matches. Costs
+ * one look-up for each distinct path length of the host, independent of the number of rules.
  */
 export const ruleAt = (setup: Setup, host: string, path: string): Rule | undefined => {
   const hostRules = ruleIndexOf(setup).byHost.get(host.toLowerCase());
--- a/src/setup/match/tenant-of-key.ts
+++ b/src/setup/match/tenant-of-key.ts
@@ -13,8 +13,8 @@
 };
 
 /**
- * The tenant that owns an API key; undefined if none does. One look-up in an index, which is built once for each list of
- * tenants; configurations with equal tenants share one list.
+ * The tenant that owns an API key; undefined if none does. One look-up in an index, which is built once for each list
+ * of tenants; configurations with equal tenants share one list.
  */
 export const tenantOfKey = ({ tenants }: Pick<Setup, 'tenants'>, key: string): Tenant | undefined =>
   tenants === undefined ? undefined : indexOf(tenants).get(key);
--- a/tests/disk/crash-images/crash-images.ts
+++ b/tests/disk/crash-images/crash-images.ts
@@ -7,9 +7,9 @@
 import { drawnWriteFates } from '../../../src/sim/disk/write-fate.js';
 
 /**
- * The result of a random crash test. The files of a ring are reopened after kills of the process and power failures at any
- * write or sync, several times in a row, so that a crash also hits files left by an earlier crash. The ring must open and
- * recover, in order, every acknowledged record and no record that was never appended.
+ * The result of a random crash test. The files of a ring are reopened after kills of the process and power failures at
+ * any write or sync, several times in a row, so that a crash also hits files left by an earlier crash. The ring must
+ * open and recover, in order, every acknowledged record and no record that was never appended.
  */
 export type CrashImages = { readonly images: number; readonly faults: readonly string[] };
 
@@ -62,7 +62,9 @@
   }));
 };
 
-/** The first violation by the recovered records, given the last acknowledged and the last appended record; or undefined. */
+/**
+ * The first violation by the recovered records, given the last acknowledged and the last appended record; or undefined.
+ */
 const faultOf = (numbers: readonly number[], acknowledged: number, appended: number): string | undefined => {
   const newest = numbers.at(-1) ?? 0;
   if (newest < acknowledged)
--- a/tests/disk/folder-crash.test.ts
+++ b/tests/disk/folder-crash.test.ts
@@ -65,8 +65,8 @@
   assert.ok(newestOf(last.unsafeCoerce()) >= acknowledged);
 };
 
-// Guards against: a control node that can not start after a power failure during the creation of its data folder, or that
-// loses acknowledged records because the folder was never synced.
+// Guards against: a control node that can not start after a power failure during the creation of its data folder, or
+// that loses acknowledged records because the folder was never synced.
 test('after a kill or power failure at any point of its creation, a data folder opens with all acknowledged records', async () => {
   for (const seed of seeds) {
     const chance = seededChance(seed);
--- a/tests/disk/power-loss.test.ts
+++ b/tests/disk/power-loss.test.ts
@@ -26,7 +26,9 @@
     sync: () => (isLost() ? Promise.reject(new Error('power failure')) : file.sync()),
   }));
 
-/** Appends numbered records until the sync of rotation number `rotations` fails; returns the last acknowledged record. */
+/**
+ * Appends numbered records until the sync of rotation number `rotations` fails; returns the last acknowledged record.
+ */
 const appendUntilRotationFails = async (memory: MemoryFiles, rotations: number): Promise<string> => {
   let startedRotations = 0;
   const ring = (await openDiskRing(filesWithFailingSync(memory, () => startedRotations === rotations))).unsafeCoerce();
