--- a/src/cli/experiment-command.ts
+++ b/src/cli/experiment-command.ts
@@ -4,7 +4,7 @@
 import { checked } from '../common/checked.js';
 import { parseJson } from '../common/json.js';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
-import { policyParts, policyWithout, usualPolicy, type DecisionPolicy } from '../decision/policy.js';
+import { policyParts, policyWithout, defaultPolicy, type DecisionPolicy } from '../decision/policy.js';
 import { experimentSchema, type Experiment } from '../experiment/deployment.js';
 import type { ExperimentResult } from '../experiment/play-experiment.js';
 import { playSeeds, spreadOf } from '../experiment/play-seeds.js';
@@ -81,7 +81,7 @@
       .filter((name) => name !== '')
       .reduce<DecisionPolicy>(
         (policy, name) => (isPart(name) ? { ...policy, [name]: false } : failUsage(`unknown part ${name}`)),
-        usualPolicy,
+        defaultPolicy,
       );
 
   command.action(async (path: string, { seeds: seedsText, without, ablate }: Flags) => {
--- a/src/decision/health/server-load.ts
+++ b/src/decision/health/server-load.ts
@@ -2,29 +2,29 @@
 import type { PersistentMap } from '../../common/persistent-map.js';
 import type { ServerKey } from '../../servers/list/server-key.js';
 
-/** What a server tells of itself with an answer: what it works on, what waits there, and how much it works on at once. */
+/** The load that a server reports with a response: requests running, requests queued, and how many it runs at once. */
 export type ServerLoad = { readonly running: number; readonly waiting: number; readonly slots: number };
 
-/** A load, and when it was told. */
-export type KnownLoad = ServerLoad & { readonly atUs: Micros };
+/** A reported load and the time at which the report arrived. */
+export type LoadReport = ServerLoad & { readonly atUs: Micros };
 
-export type ServerLoads = PersistentMap<ServerKey, KnownLoad>;
+export type ServerLoads = PersistentMap<ServerKey, LoadReport>;
 
-/** From this part of its slots on a server counts as crowded. */
-export const crowdedPart = 0.85;
-/** What was told longer ago says nothing any more. */
-export const loadLifeUs: Micros = 1_500_000;
+/** A server counts as saturated once its running and waiting requests reach this fraction of its slots. */
+export const saturatedFraction = 0.85;
+/** Older reports are ignored. */
+export const loadReportTtlUs: Micros = 1_500_000;
 
-export const isCrowdedBy = ({ running, waiting, slots }: ServerLoad): boolean =>
-  running + waiting >= slots * crowdedPart;
+export const isSaturated = ({ running, waiting, slots }: ServerLoad): boolean =>
+  running + waiting >= slots * saturatedFraction;
 
-/** The part of its slots that a server is known to have taken; none where nothing fresh is known. */
-export const loadPartOf = (loads: ServerLoads, server: ServerKey, nowUs: Micros): number | undefined => {
-  const known = loads.get(server);
-  if (known === undefined || nowUs - known.atUs >= loadLifeUs || known.slots <= 0) return undefined;
-  return (known.running + known.waiting) / known.slots;
+/** Running and waiting requests as a fraction of the server's slots; undefined without a recent report. */
+export const loadFractionOf = (loads: ServerLoads, server: ServerKey, nowUs: Micros): number | undefined => {
+  const report = loads.get(server);
+  if (report === undefined || nowUs - report.atUs >= loadReportTtlUs || report.slots <= 0) return undefined;
+  return (report.running + report.waiting) / report.slots;
 };
 
-/** Whether a server is known to have next to no room. */
-export const isCrowded = (loads: ServerLoads, server: ServerKey, nowUs: Micros): boolean =>
-  (loadPartOf(loads, server, nowUs) ?? 0) >= crowdedPart;
+/** Whether a recent report shows the server as saturated. */
+export const isServerSaturated = (loads: ServerLoads, server: ServerKey, nowUs: Micros): boolean =>
+  (loadFractionOf(loads, server, nowUs) ?? 0) >= saturatedFraction;
--- a/src/decision/hotness/hot-prefix.ts
+++ b/src/decision/hotness/hot-prefix.ts
@@ -1,12 +1,12 @@
 import type { Micros } from '../../common/micros.js';
 import type { Position } from '../ring/position.js';
 
-/** How hot one opening is in a node's own traffic. */
+/** How often this router's own traffic used a prompt prefix, as an exponentially decaying score. */
 export type HotPrefix = {
   readonly position: Position;
   readonly service: string;
-  /** The place of the best tier that asked for it; 0 is the first tier. */
-  readonly tierPlace: number;
+  /** Index of the best tier that requested it; 0 is the first tier. */
+  readonly tierIndex: number;
   readonly score: number;
   readonly scoredAtUs: Micros;
 };
--- a/src/decision/hotness/hotness.ts
+++ b/src/decision/hotness/hotness.ts
@@ -5,7 +5,7 @@
 import type { Prefix } from '../ring/prefix.js';
 import type { HotPrefix } from './hot-prefix.js';
 
-/** The hot openings of a node, bounded in number, and which of them lie in each arc of the ring. */
+/** The hot prefixes of a router, bounded in number, and an index of them by arc of the ring. */
 export type Hotness = {
   readonly prefixes: PersistentMap<Prefix, HotPrefix>;
   readonly arcs: PersistentMap<number, readonly Prefix[]>;
@@ -13,58 +13,58 @@
 
 export const emptyHotness: Hotness = { prefixes: emptyMap(), arcs: emptyMap() };
 
-const halfLifeUs = 30_000_000;
-const mostPrefixes = 4096;
-/** The arcs into which the ring is cut: about as many as there are openings. */
+const scoreHalfLifeUs = 30_000_000;
+const maxPrefixes = 4096;
+/** Number of equal arcs of the index: about one for each tracked prefix. */
 export const arcCount = 4096;
 
+/** The index of the arc that contains a position. */
 export const arcAt = (position: Position): number => Math.floor(position / (positionEnd / arcCount));
 
+/** The score of a prefix, decayed to `atUs`. */
 export const scoreAt = (hotPrefix: HotPrefix, atUs: Micros): number =>
-  hotPrefix.score * 2 ** ((hotPrefix.scoredAtUs - atUs) / halfLifeUs);
+  hotPrefix.score * 2 ** ((hotPrefix.scoredAtUs - atUs) / scoreHalfLifeUs);
 
-/** Makes room for an eighth at once, so that the openings are ranked once for many new ones. */
-const withoutCoolest = ({ prefixes, arcs }: Hotness, atUs: Micros): Hotness => {
-  const coolPrefixes = new Set(leastKeys(prefixes, mostPrefixes / 8, (hotPrefix) => scoreAt(hotPrefix, atUs)));
-  const coolArcs = new Set([...coolPrefixes].flatMap((prefix) => arcAt(prefixes.get(prefix)?.position ?? 0)));
+/** Evicts an eighth at once, so that one ranking of the prefixes makes room for many new ones. */
+const evictColdest = ({ prefixes, arcs }: Hotness, atUs: Micros): Hotness => {
+  const evictedPrefixes = new Set(leastKeys(prefixes, maxPrefixes / 8, (hotPrefix) => scoreAt(hotPrefix, atUs)));
+  const affectedArcs = new Set([...evictedPrefixes].flatMap((prefix) => arcAt(prefixes.get(prefix)?.position ?? 0)));
   return {
-    prefixes: prefixes.deleteAll(coolPrefixes),
-    arcs: arcs.withMutations((changedArcs) => {
-      for (const arc of coolArcs) {
-        const keptPrefixes = (arcs.get(arc) ?? []).filter((prefix) => !coolPrefixes.has(prefix));
-        if (keptPrefixes.length === 0) changedArcs.delete(arc);
-        else changedArcs.set(arc, keptPrefixes);
+    prefixes: prefixes.deleteAll(evictedPrefixes),
+    arcs: arcs.withMutations((mutableArcs) => {
+      for (const arc of affectedArcs) {
+        const remainingPrefixes = (arcs.get(arc) ?? []).filter((prefix) => !evictedPrefixes.has(prefix));
+        if (remainingPrefixes.length === 0) mutableArcs.delete(arc);
+        else mutableArcs.set(arc, remainingPrefixes);
       }
     }),
   };
 };
 
-export const heated = (
+/** Counts one request for a prefix. A new prefix evicts the coldest ones if the table is full. */
+export const countRequest = (
   hotness: Hotness,
-  touch: {
+  request: {
     readonly prefix: Prefix;
     readonly position: Position;
     readonly service: string;
-    readonly tierPlace: number;
+    readonly tierIndex: number;
     readonly weight: number;
     readonly atUs: Micros;
   },
 ): Hotness => {
-  const knownPrefix = hotness.prefixes.get(touch.prefix);
-  const roomyHotness =
-    knownPrefix === undefined && hotness.prefixes.size >= mostPrefixes ? withoutCoolest(hotness, touch.atUs) : hotness;
-  const arc = arcAt(touch.position);
+  const existing = hotness.prefixes.get(request.prefix);
+  const base =
+    existing === undefined && hotness.prefixes.size >= maxPrefixes ? evictColdest(hotness, request.atUs) : hotness;
+  const arc = arcAt(request.position);
   return {
-    prefixes: roomyHotness.prefixes.set(touch.prefix, {
-      position: touch.position,
-      service: touch.service,
-      tierPlace: Math.min(knownPrefix?.tierPlace ?? touch.tierPlace, touch.tierPlace),
-      score: (knownPrefix === undefined ? 0 : scoreAt(knownPrefix, touch.atUs)) + touch.weight,
-      scoredAtUs: touch.atUs,
+    prefixes: base.prefixes.set(request.prefix, {
+      position: request.position,
+      service: request.service,
+      tierIndex: Math.min(existing?.tierIndex ?? request.tierIndex, request.tierIndex),
+      score: (existing === undefined ? 0 : scoreAt(existing, request.atUs)) + request.weight,
+      scoredAtUs: request.atUs,
     }),
-    arcs:
-      knownPrefix === undefined
-        ? roomyHotness.arcs.set(arc, [...(roomyHotness.arcs.get(arc) ?? []), touch.prefix])
-        : roomyHotness.arcs,
+    arcs: existing === undefined ? base.arcs.set(arc, [...(base.arcs.get(arc) ?? []), request.prefix]) : base.arcs,
   };
 };
--- a/src/decision/machine/event/decision-event.ts
+++ b/src/decision/machine/event/decision-event.ts
@@ -7,13 +7,13 @@
 import type { FailureCause } from '../../health/server-failures.js';
 import type { DeliveryError } from './delivery-error.js';
 
-/** What the decision machine hears. `at` is the node's steady time. */
+/** Input of the decision machine. `at` is the node's monotonic time. Members are the names of the trace format. */
 export type DecisionEvent =
-  /** Which node this is; its name shifts its slots against those of the others. */
+  /** The name of this node, which offsets its pace slots from those of the other nodes. */
   | { readonly type: 'node'; readonly at: Micros; readonly node: string }
-  /** The node did not run, or its clock jumped, for a span up to now; it does not count as time of the platform. */
+  /** The process was suspended, or its clock jumped, for `spanUs` up to now; the platform time does not advance by it. */
   | { readonly type: 'gap'; readonly at: Micros; readonly spanUs: Micros }
-  /** How many routers are thought to live, this one among them. */
+  /** The number of routers believed to be alive, this one included. */
   | { readonly type: 'fleet'; readonly at: Micros; readonly routers: number }
   | { readonly type: 'setup'; readonly at: Micros; readonly record: SetupRecord }
   | { readonly type: 'list'; readonly at: Micros; readonly list: ServerList }
@@ -25,9 +25,9 @@
       readonly kind: string;
       readonly prefix: Prefix;
       readonly budgetUs?: Micros;
-      /** The service that its rule has drawn for it, where the rule is split. */
+      /** The service that was drawn by weight, if the rule splits its traffic. */
       readonly service?: string;
-      /** The tier of its tenant, where that takes the place of its rule's. */
+      /** The tier of the tenant, if it overrides that of the rule. */
       readonly tier?: string;
       readonly work?: Work;
     }
@@ -39,15 +39,15 @@
       readonly exchange: string;
       readonly attempt: number;
       readonly sent: boolean;
-      /** How many pieces the caller has been given so far, over all tries. */
+      /** Pieces (chunks of the streamed response) that the client has received so far, over all attempts. */
       readonly pieces: number;
       readonly error: DeliveryError;
-      /** The server vouches that it did not run it and never will. */
+      /** The server guarantees that it has not run the request and never will. */
       readonly notRun?: boolean;
     }
   | { readonly type: 'done'; readonly at: Micros; readonly exchange: string; readonly attempt: number }
   | { readonly type: 'abandoned'; readonly at: Micros; readonly exchange: string }
-  /** Another node has given a server something to read. */
+  /** Another router has sent a server a prefill. */
   | {
       readonly type: 'work';
       readonly at: Micros;
@@ -55,9 +55,9 @@
       readonly service: string;
       readonly tokens: number;
     }
-  /** A server failed, here or at another router. */
+  /** A server failed, at this or another router. */
   | { readonly type: 'failure'; readonly at: Micros; readonly server: ServerKey; readonly cause: FailureCause }
-  /** A server has told its load, here or to another router. */
+  /** A server has reported its load, to this or another router. */
   | {
       readonly type: 'load';
       readonly at: Micros;
@@ -66,6 +66,7 @@
       readonly waiting: number;
       readonly slots: number;
     }
+  /** A server became unreachable (`dark`) or reachable again (`light`). */
   | { readonly type: 'dark'; readonly at: Micros; readonly server: ServerKey }
   | { readonly type: 'light'; readonly at: Micros; readonly server: ServerKey }
   | { readonly type: 'tick'; readonly at: Micros }
--- a/src/decision/machine/event/delivery-error.ts
+++ b/src/decision/machine/event/delivery-error.ts
@@ -1,4 +1,4 @@
-/** How a delivery can go wrong. */
+/** How an attempt to deliver an exchange to a server can fail. */
 export type DeliveryError =
   | 'no-link'
   | 'link-lost'
@@ -8,5 +8,5 @@
   | 'too-slow'
   | 'silent'
   | 'bad-stream'
-  /** The caller's key was revoked before the exchange was sent. */
+  /** The API key of the client was revoked before the exchange was sent. */
   | 'key-revoked';
--- a/src/decision/machine/step/flights.ts
+++ b/src/decision/machine/step/flights.ts
@@ -8,35 +8,35 @@
   flights: view.flights.set(flightKey, flight),
 });
 
-/** Takes an exchange out of the flight that it follows. */
-export const unfollowed = (view: DecisionView, exchange: ExchangeView): DecisionView => {
-  if (exchange.follows === undefined) return view;
-  const flight = view.flights.get(exchange.follows);
-  const freedView = withExchange(view, { ...exchange, follows: undefined });
+/** Removes an exchange from the flight that it follows; it stays in the view. */
+export const leaveFlight = (view: DecisionView, exchange: ExchangeView): DecisionView => {
+  if (exchange.followsFlight === undefined) return view;
+  const flight = view.flights.get(exchange.followsFlight);
+  const freedView = withExchange(view, { ...exchange, followsFlight: undefined });
   return flight === undefined
     ? freedView
-    : withFlight(freedView, exchange.follows, {
+    : withFlight(freedView, exchange.followsFlight, {
         ...flight,
         followers: flight.followers.filter((follower) => follower !== exchange.exchange),
       });
 };
 
-/** Ends the flight that an exchange leads, and names those that waited for it. */
-export const landed = (
+/** Ends the flight that an exchange leads, if any; returns the followers, which are no longer held. */
+export const endFlight = (
   view: DecisionView,
   exchange: ExchangeView,
 ): { readonly view: DecisionView; readonly followers: readonly string[] } => {
-  const flight = exchange.leads === undefined ? undefined : view.flights.get(exchange.leads);
-  if (exchange.leads === undefined || flight?.leader !== exchange.exchange) return { view, followers: [] };
+  const flight = exchange.leadsFlight === undefined ? undefined : view.flights.get(exchange.leadsFlight);
+  if (exchange.leadsFlight === undefined || flight?.leader !== exchange.exchange) return { view, followers: [] };
   const endedView: DecisionView = {
-    ...withExchange(view, { ...exchange, leads: undefined }),
-    flights: view.flights.delete(exchange.leads),
+    ...withExchange(view, { ...exchange, leadsFlight: undefined }),
+    flights: view.flights.delete(exchange.leadsFlight),
   };
-  const freedView = flight.followers.reduce((reachedView, follower) => {
-    const followerView = reachedView.exchanges.get(follower);
-    return followerView === undefined
-      ? reachedView
-      : withExchange(reachedView, { ...followerView, follows: undefined });
+  const freedView = flight.followers.reduce((previousView, id) => {
+    const follower = previousView.exchanges.get(id);
+    return follower === undefined
+      ? previousView
+      : withExchange(previousView, { ...follower, followsFlight: undefined });
   }, endedView);
   return { view: freedView, followers: flight.followers };
 };
--- a/src/decision/machine/step/give-up.ts
+++ b/src/decision/machine/step/give-up.ts
@@ -3,26 +3,28 @@
 import type { Decision } from '../effect/decision.js';
 import type { DecisionView } from '../view/decision-view.js';
 import type { ExchangeView } from '../view/exchange-view.js';
-import { stepped, type DecisionStep } from './decision-step.js';
+import { withEffects, type DecisionStep } from './decision-step.js';
 import { withoutExchange } from './exchange-changes.js';
-import { unfollowed } from './flights.js';
+import { leaveFlight } from './flights.js';
 
+/** Sent with a refusal: when the client may try again. */
 export const retryAfterUs: Micros = 1_000_000;
 
 /**
- * The last answer of an exchange. It is a refusal only when nothing was ever sent for it; a stream that
- * has begun is broken off so that it never looks complete; anything else has an unknown outcome.
+ * The final decision for an exchange that fails. It is a refusal only if no attempt can have run; a stream that has
+ * started is broken off so that it never looks complete; in all other cases the outcome is unknown.
  */
-export const lastDecisionOf = (exchange: ExchangeView, error: ErrorType): Decision => {
-  const name = exchange.exchange;
-  if (exchange.started) return { type: 'breakOff', exchange: name, error };
+export const finalDecisionOf = (exchange: ExchangeView, error: ErrorType): Decision => {
+  const id = exchange.exchange;
+  if (exchange.started) return { type: 'breakOff', exchange: id, error };
   if (exchange.sent || exchange.mayHaveRun)
-    return { type: 'unknown', exchange: name, error: error === 'no-server' ? 'outcome-unknown' : error };
-  return { type: 'refuse', exchange: name, error, retryAfterUs };
+    return { type: 'unknown', exchange: id, error: error === 'no-server' ? 'outcome-unknown' : error };
+  return { type: 'refuse', exchange: id, error, retryAfterUs };
 };
 
+/** Removes an exchange and ends it with its final decision. */
 export const giveUp = (view: DecisionView, exchange: ExchangeView, error: ErrorType): DecisionStep => {
-  const freedView = unfollowed(view, exchange);
+  const freedView = leaveFlight(view, exchange);
   const freedExchange = freedView.exchanges.get(exchange.exchange) ?? exchange;
-  return stepped(withoutExchange(freedView, freedExchange), lastDecisionOf(freedExchange, error));
+  return withEffects(withoutExchange(freedView, freedExchange), finalDecisionOf(freedExchange, error));
 };
--- a/src/decision/machine/step/on-delivery.ts
+++ b/src/decision/machine/step/on-delivery.ts
@@ -1,21 +1,21 @@
 import type { DecisionEvent } from '../event/decision-event.js';
 import type { DecisionView } from '../view/decision-view.js';
 import type { ExchangeView } from '../view/exchange-view.js';
-import { andThen, overAll, still, type DecisionStep } from './decision-step.js';
+import { andThen, stepAll, withoutEffects, type DecisionStep } from './decision-step.js';
 import { withExchange, withoutExchange, withoutServer } from './exchange-changes.js';
-import { landed, unfollowed } from './flights.js';
+import { endFlight, leaveFlight } from './flights.js';
 import { giveUp } from './give-up.js';
-import { withTry } from './retry-allowance.js';
-import { direct } from './direct.js';
-import { warmed } from './warmth.js';
-import { prefixesOf, withRateSample } from '../../work/busy.js';
+import { countAttempt } from './count-attempts.js';
+import { dispatch } from './dispatch.js';
+import { withCachedPrefix } from './cached-prefixes.js';
+import { cacheablePrefixesOf, withRateSample } from '../../work/prefill-estimate.js';
 import type { ServerKey } from '../../../servers/list/server-key.js';
 
-type Attempted = Extract<DecisionEvent, { readonly type: 'sent' | 'firstPiece' | 'done' | 'failed' }>;
-type Failed = Extract<DecisionEvent, { readonly type: 'failed' }>;
+type AttemptEvent = Extract<DecisionEvent, { readonly type: 'sent' | 'firstPiece' | 'done' | 'failed' }>;
+type FailedEvent = Extract<DecisionEvent, { readonly type: 'failed' }>;
 
-/** The exchange that an event of a try speaks of; late events of former tries speak of none. */
-const current = (view: DecisionView, event: Attempted): ExchangeView | undefined => {
+/** The exchange of an event about its running attempt; undefined for a late event about an earlier attempt. */
+const exchangeOf = (view: DecisionView, event: AttemptEvent): ExchangeView | undefined => {
   const exchange = view.exchanges.get(event.exchange);
   return exchange !== undefined && exchange.server !== undefined && exchange.attempt === event.attempt
     ? exchange
@@ -23,82 +23,101 @@
 };
 
 const releaseAll = (view: DecisionView, followers: readonly string[]): DecisionStep =>
-  overAll(still(view), followers, direct);
+  stepAll(withoutEffects(view), followers, dispatch);
 
-const warmedAll = (view: DecisionView, server: ServerKey, { prefix, work }: ExchangeView): DecisionView =>
-  prefixesOf(prefix, work).reduce((reachedView, held) => warmed(reachedView, server, held), view);
+const withCachedPrefixes = (view: DecisionView, server: ServerKey, { prefix, work }: ExchangeView): DecisionView =>
+  cacheablePrefixesOf(prefix, work).reduce(
+    (previousView, cached) => withCachedPrefix(previousView, server, cached),
+    view,
+  );
 
-const sampled = (view: DecisionView, { rule, given, deliveredUs, started }: ExchangeView): DecisionView =>
+/** Samples the prefill rate of the service from the time to the first piece. */
+const withFirstPieceSample = (
+  view: DecisionView,
+  { rule, estimate: prefill, deliveredUs, started }: ExchangeView,
+): DecisionView =>
   started
     ? view
     : withRateSample(view, {
         service: rule.service,
-        tokens: given.tokens,
-        waitUs: given.waitUs,
+        tokens: prefill.tokens,
+        waitUs: prefill.waitUs,
         tookUs: view.atUs - deliveredUs,
       });
 
-export const onSent = (view: DecisionView, event: Attempted): DecisionStep => {
-  const exchange = current(view, event);
-  if (exchange === undefined || exchange.sent) return still(view);
-  const triedView = exchange.nextIsExtra ? view : withTry(view, exchange.rule.service, false);
-  return still(withExchange(triedView, { ...exchange, sent: true, sends: exchange.sends + 1, nextIsExtra: false }));
+/** The running attempt was sent: from now on it may run. A first attempt counts towards the retry budget. */
+export const onSent = (view: DecisionView, event: AttemptEvent): DecisionStep => {
+  const exchange = exchangeOf(view, event);
+  if (exchange === undefined || exchange.sent) return withoutEffects(view);
+  const countedView = exchange.isNextRetry ? view : countAttempt(view, exchange.rule.service, false);
+  return withoutEffects(
+    withExchange(countedView, { ...exchange, sent: true, sentCount: exchange.sentCount + 1, isNextRetry: false }),
+  );
 };
 
-export const onFirstPiece = (view: DecisionView, event: Attempted): DecisionStep => {
-  const exchange = current(view, event);
-  if (exchange?.server === undefined) return still(view);
-  const landing = landed(warmedAll(sampled(view, exchange), exchange.server, exchange), exchange);
-  const startedExchange = landing.view.exchanges.get(exchange.exchange) ?? exchange;
-  return releaseAll(withExchange(landing.view, { ...startedExchange, started: true }), landing.followers);
+/** The first piece shows that the prefill is done: the prefix is cached at the server, and the followers are dispatched. */
+export const onFirstPiece = (view: DecisionView, event: AttemptEvent): DecisionStep => {
+  const exchange = exchangeOf(view, event);
+  if (exchange?.server === undefined) return withoutEffects(view);
+  const ended = endFlight(
+    withCachedPrefixes(withFirstPieceSample(view, exchange), exchange.server, exchange),
+    exchange,
+  );
+  const startedExchange = ended.view.exchanges.get(exchange.exchange) ?? exchange;
+  return releaseAll(withExchange(ended.view, { ...startedExchange, started: true }), ended.followers);
 };
 
-export const onDone = (view: DecisionView, event: Attempted): DecisionStep => {
-  const exchange = current(view, event);
-  if (exchange?.server === undefined) return still(view);
-  const landing = landed(warmedAll(view, exchange.server, exchange), exchange);
-  const endedExchange = landing.view.exchanges.get(exchange.exchange) ?? exchange;
-  return releaseAll(withoutExchange(landing.view, endedExchange), landing.followers);
+/** The exchange completed: it is removed, and its followers are dispatched if it led a flight to the end. */
+export const onDone = (view: DecisionView, event: AttemptEvent): DecisionStep => {
+  const exchange = exchangeOf(view, event);
+  if (exchange?.server === undefined) return withoutEffects(view);
+  const ended = endFlight(withCachedPrefixes(view, exchange.server, exchange), exchange);
+  const endedExchange = ended.view.exchanges.get(exchange.exchange) ?? exchange;
+  return releaseAll(withoutExchange(ended.view, endedExchange), ended.followers);
 };
 
-/** What to do after a broken try: nothing left means try elsewhere; else the rule of the kind decides. */
-export const onFailed = (view: DecisionView, event: Failed): DecisionStep => {
-  const exchange = current(view, event);
-  if (exchange === undefined) return still(view);
-  const wasOffered = event.sent || exchange.sent;
-  const wasSent = wasOffered && event.notRun !== true;
+/**
+ * Handles a failed attempt. If it cannot have run, the exchange is tried on another server; otherwise the rule of its
+ * kind decides whether it may run again and, for a started stream, whether it may resume at the next piece.
+ */
+export const onFailed = (view: DecisionView, event: FailedEvent): DecisionStep => {
+  const exchange = exchangeOf(view, event);
+  if (exchange === undefined) return withoutEffects(view);
+  const wasSent = event.sent || exchange.sent;
+  const mayHaveRun = wasSent && event.notRun !== true;
   const wasStarted = event.pieces > 0 || exchange.started;
-  const landing = landed(view, exchange);
-  const landedExchange = {
-    ...(landing.view.exchanges.get(exchange.exchange) ?? exchange),
-    sent: wasSent,
-    mayHaveRun: exchange.mayHaveRun || wasSent,
+  const ended = endFlight(view, exchange);
+  const failedExchange = {
+    ...(ended.view.exchanges.get(exchange.exchange) ?? exchange),
+    sent: mayHaveRun,
+    mayHaveRun: exchange.mayHaveRun || mayHaveRun,
     started: wasStarted,
   };
   const releaseFollowers = (step: DecisionStep): DecisionStep =>
-    andThen(step, (nextView) => releaseAll(nextView, landing.followers));
+    andThen(step, (nextView) => releaseAll(nextView, ended.followers));
   if (event.error === 'key-revoked')
-    return releaseFollowers(giveUp(withExchange(landing.view, landedExchange), landedExchange, 'unknown-key'));
-  const mayRun =
-    !wasSent || (view.policy.retries && exchange.rule.repeatable && (!wasStarted || exchange.rule.resumable));
-  if (!mayRun)
-    return releaseFollowers(giveUp(withExchange(landing.view, landedExchange), landedExchange, 'outcome-unknown'));
-  const freedView = withoutServer(landing.view, landedExchange);
-  const freedExchange = freedView.exchanges.get(exchange.exchange) ?? landedExchange;
+    return releaseFollowers(giveUp(withExchange(ended.view, failedExchange), failedExchange, 'unknown-key'));
+  const canTryAgain =
+    !mayHaveRun || (view.policy.retries && exchange.rule.repeatable && (!wasStarted || exchange.rule.resumable));
+  if (!canTryAgain)
+    return releaseFollowers(giveUp(withExchange(ended.view, failedExchange), failedExchange, 'outcome-unknown'));
+  const freedView = withoutServer(ended.view, failedExchange);
+  const freedExchange = freedView.exchanges.get(exchange.exchange) ?? failedExchange;
   const retriedView = withExchange(freedView, {
     ...freedExchange,
     fromPiece: event.pieces,
-    nextIsExtra: wasOffered || exchange.nextIsExtra,
+    isNextRetry: wasSent || exchange.isNextRetry,
     holdUntilUs: wasStarted ? view.atUs : freedExchange.holdUntilUs,
   });
-  return releaseFollowers(direct(retriedView, exchange.exchange));
+  return releaseFollowers(dispatch(retriedView, exchange.exchange));
 };
 
-export const onAbandoned = (view: DecisionView, exchangeName: string): DecisionStep => {
-  const exchange = view.exchanges.get(exchangeName);
-  if (exchange === undefined) return still(view);
-  const freedView = unfollowed(view, exchange);
-  const landing = landed(freedView, freedView.exchanges.get(exchangeName) ?? exchange);
-  const endedExchange = landing.view.exchanges.get(exchangeName) ?? exchange;
-  return releaseAll(withoutExchange(landing.view, endedExchange), landing.followers);
+/** The client went away: the exchange ends without a final decision, and its followers are dispatched. */
+export const onAbandoned = (view: DecisionView, id: string): DecisionStep => {
+  const exchange = view.exchanges.get(id);
+  if (exchange === undefined) return withoutEffects(view);
+  const freedView = leaveFlight(view, exchange);
+  const ended = endFlight(freedView, freedView.exchanges.get(id) ?? exchange);
+  const endedExchange = ended.view.exchanges.get(id) ?? exchange;
+  return releaseAll(withoutExchange(ended.view, endedExchange), ended.followers);
 };
--- a/src/decision/machine/step/on-list.ts
+++ b/src/decision/machine/step/on-list.ts
@@ -3,50 +3,51 @@
 import type { ServerList } from '../../../servers/list/server-list.js';
 import { serverKeyOf, type ServerKey } from '../../../servers/list/server-key.js';
 import type { DecisionView } from '../view/decision-view.js';
-import { still, type DecisionStep } from './decision-step.js';
+import { withoutEffects, type DecisionStep } from './decision-step.js';
 import { mostGraceUs } from '../../../setup/check/figures.js';
-import { restage } from './restage.js';
+import { updateTopology } from './update-topology.js';
 
-/** Merges a certain lower bound of the platform's time; it never goes back. */
+/** Raises the lower bound of the platform time; the bound never decreases. */
 export const withPlatformUs = (view: DecisionView, platformUs: number): DecisionView => ({
   ...view,
   platform: raisedBound(view.platform, platformUs, view.atUs),
 });
 
-type FormerServers = ReadonlyMap<ServerKey, ListedServer>;
+type ServersByKey = ReadonlyMap<ServerKey, ListedServer>;
 
-/** New weights mean that a server remembers nothing, though its links stay good. */
-const withoutOldWeights = (view: DecisionView, list: ServerList, formerServers: FormerServers): DecisionView => ({
+/** A server that loads new model weights has an empty prefix cache; its connections stay open. */
+const withoutStaleCaches = (view: DecisionView, list: ServerList, previousServers: ServersByKey): DecisionView => ({
   ...view,
-  warmth: list.servers.reduce((warmth, server) => {
-    const formerServer = formerServers.get(serverKeyOf(server));
-    return formerServer !== undefined && formerServer.weights !== server.weights
-      ? warmth.delete(serverKeyOf(server))
-      : warmth;
-  }, view.warmth),
+  cachedPrefixes: list.servers.reduce((caches, server) => {
+    const previousServer = previousServers.get(serverKeyOf(server));
+    return previousServer !== undefined && previousServer.weights !== server.weights
+      ? caches.delete(serverKeyOf(server))
+      : caches;
+  }, view.cachedPrefixes),
 });
 
 /**
- * A server that is shown as leaving anew has been leaving since it was first shown so. For a node that has just begun
- * and does not know for how long, its grace is over: it has nothing to hand over.
+ * Keeps the first leaving time of each server, also if a later list gives a later one. In the first list of a node, the
+ * grace of all leaving servers counts as over: the node can't tell since when they leave, and has nothing to hand over.
  */
-const withFirstLeaving = (view: DecisionView, list: ServerList, formerServers: FormerServers): ServerList => ({
+const withFirstLeavingTimes = (view: DecisionView, list: ServerList, previousServers: ServersByKey): ServerList => ({
   ...list,
   servers: list.servers.map((server) => {
     if (view.list === undefined)
       return server.leavingAtUs === undefined ? server : { ...server, leavingAtUs: server.leavingAtUs - mostGraceUs };
-    const former = formerServers.get(serverKeyOf(server));
-    return server.leavingAtUs === undefined || former?.leavingAtUs === undefined
+    const previous = previousServers.get(serverKeyOf(server));
+    return server.leavingAtUs === undefined || previous?.leavingAtUs === undefined
       ? server
-      : { ...server, leavingAtUs: Math.min(former.leavingAtUs, server.leavingAtUs) };
+      : { ...server, leavingAtUs: Math.min(previous.leavingAtUs, server.leavingAtUs) };
   }),
 });
 
-export const onList = (view: DecisionView, given: ServerList): DecisionStep => {
-  if (view.list !== undefined && given.version <= view.list.version) return still(view);
-  const formerServers: FormerServers = new Map(
+/** Takes a newer server list; an older or equal version is ignored. */
+export const onList = (view: DecisionView, received: ServerList): DecisionStep => {
+  if (view.list !== undefined && received.version <= view.list.version) return withoutEffects(view);
+  const previousServers: ServersByKey = new Map(
     (view.list?.servers ?? []).map((server) => [serverKeyOf(server), server]),
   );
-  const list = withFirstLeaving(view, given, formerServers);
-  return restage({ ...withPlatformUs(withoutOldWeights(view, list, formerServers), list.atUs), list });
+  const list = withFirstLeavingTimes(view, received, previousServers);
+  return updateTopology({ ...withPlatformUs(withoutStaleCaches(view, list, previousServers), list.atUs), list });
 };
--- a/src/decision/machine/step/on-setup.ts
+++ b/src/decision/machine/step/on-setup.ts
@@ -1,26 +1,28 @@
 import { canonicalText } from '../../../setup/document/canonical-text.js';
 import type { SetupRecord } from '../../../setup/document/setup-record.js';
 import type { DecisionView } from '../view/decision-view.js';
-import { still, type DecisionStep } from './decision-step.js';
-import { restage } from './restage.js';
+import { withoutEffects, type DecisionStep } from './decision-step.js';
+import { updateTopology } from './update-topology.js';
 
 const areEqual = (left: object, right: object): boolean =>
   left === right || canonicalText(left) === canonicalText(right);
 
-/** Whether two configurations say the same of everything that the stage is derived from. */
-const hasSameStageInputs = (former: SetupRecord, next: SetupRecord): boolean =>
-  areEqual(former.setup.services, next.setup.services) &&
-  areEqual(former.epochs, next.epochs) &&
-  areEqual(former.setup.warmup, next.setup.warmup) &&
-  areEqual(former.setup.leaving, next.setup.leaving);
+/** Whether two configurations are equal in everything that the topology is derived from. */
+const hasSameTopologyInputs = (previous: SetupRecord, next: SetupRecord): boolean =>
+  areEqual(previous.setup.services, next.setup.services) &&
+  areEqual(previous.epochs, next.epochs) &&
+  areEqual(previous.setup.warmup, next.setup.warmup) &&
+  areEqual(previous.setup.leaving, next.setup.leaving);
 
 /**
- * Takes a newer configuration. One that changes only routes, tiers or limits leaves the stage as it is, rings and
- * bookings included, and costs no more than the comparison.
+ * Takes a newer configuration; an older or equal revision is ignored. One that changes only routes, tiers or limits
+ * leaves the topology as it is, rings and bookings included, and costs no more than the comparison.
  */
 export const onSetup = (view: DecisionView, record: SetupRecord): DecisionStep => {
-  const former = view.record;
-  if (former !== undefined && record.revision <= former.revision) return still(view);
+  const previous = view.record;
+  if (previous !== undefined && record.revision <= previous.revision) return withoutEffects(view);
   const nextView = { ...view, record };
-  return former !== undefined && hasSameStageInputs(former, record) ? still(nextView) : restage(nextView);
+  return previous !== undefined && hasSameTopologyInputs(previous, record)
+    ? withoutEffects(nextView)
+    : updateTopology(nextView);
 };
--- a/src/decision/machine/step/on-tick.ts
+++ b/src/decision/machine/step/on-tick.ts
@@ -1,63 +1,70 @@
 import type { DecisionView } from '../view/decision-view.js';
 import { platformUsOf } from '../view/decision-view.js';
 import type { ExchangeView } from '../view/exchange-view.js';
-import { andThen, overAll, stepped, still, type DecisionStep } from './decision-step.js';
-import { landed, unfollowed } from './flights.js';
+import { andThen, stepAll, withEffects, withoutEffects, type DecisionStep } from './decision-step.js';
+import { endFlight, leaveFlight } from './flights.js';
 import { giveUp } from './give-up.js';
 import { onFailed } from './on-delivery.js';
-import { restage } from './restage.js';
-import { direct } from './direct.js';
-import { tooSlowUsOf, wakeUsOf } from './wake.js';
+import { updateTopology } from './update-topology.js';
+import { dispatch } from './dispatch.js';
+import { firstPieceDeadlineUsOf, nextDeadlineUsOf } from './deadlines.js';
 
-const pastBudget = (view: DecisionView, exchange: ExchangeView): DecisionStep => {
-  const landing = landed(view, exchange);
-  const landedExchange = landing.view.exchanges.get(exchange.exchange) ?? exchange;
+/** Ends an exchange whose time budget has passed. */
+const expire = (view: DecisionView, exchange: ExchangeView): DecisionStep => {
+  const ended = endFlight(view, exchange);
+  const expiredExchange = ended.view.exchanges.get(exchange.exchange) ?? exchange;
   const cancelStep =
     exchange.server === undefined
-      ? still(landing.view)
-      : stepped(landing.view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt });
-  return overAll(
-    andThen(cancelStep, (cancelledView) => giveUp(cancelledView, landedExchange, 'budget-passed')),
-    landing.followers,
-    direct,
+      ? withoutEffects(ended.view)
+      : withEffects(ended.view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt });
+  return stepAll(
+    andThen(cancelStep, (cancelledView) => giveUp(cancelledView, expiredExchange, 'budget-passed')),
+    ended.followers,
+    dispatch,
   );
 };
 
-const movedOn = (view: DecisionView, exchange: ExchangeView): DecisionStep =>
-  andThen(stepped(view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt }), (cancelledView) =>
-    onFailed(cancelledView, {
-      type: 'failed',
-      at: view.atUs,
-      exchange: exchange.exchange,
-      attempt: exchange.attempt,
-      sent: exchange.sent,
-      pieces: 0,
-      error: 'too-slow',
-    }),
+/** Cancels an attempt without a first piece in time, and handles it as failed. */
+const failSlowAttempt = (view: DecisionView, exchange: ExchangeView): DecisionStep =>
+  andThen(
+    withEffects(view, { type: 'cancel', exchange: exchange.exchange, attempt: exchange.attempt }),
+    (cancelledView) =>
+      onFailed(cancelledView, {
+        type: 'failed',
+        at: view.atUs,
+        exchange: exchange.exchange,
+        attempt: exchange.attempt,
+        sent: exchange.sent,
+        pieces: 0,
+        error: 'too-slow',
+      }),
   );
 
-const onExchangeTick = (view: DecisionView, exchangeName: string): DecisionStep => {
-  const exchange = view.exchanges.get(exchangeName);
-  if (exchange === undefined) return still(view);
-  if (view.atUs >= exchange.dueUs) return pastBudget(view, exchange);
-  if (exchange.follows !== undefined && view.atUs >= (exchange.holdUntilUs ?? exchange.dueUs))
-    return direct(unfollowed(view, exchange), exchangeName);
-  return view.atUs >= tooSlowUsOf(exchange) ? movedOn(view, exchange) : still(view);
+const onExchangeTick = (view: DecisionView, id: string): DecisionStep => {
+  const exchange = view.exchanges.get(id);
+  if (exchange === undefined) return withoutEffects(view);
+  if (view.atUs >= exchange.dueUs) return expire(view, exchange);
+  if (exchange.followsFlight !== undefined && view.atUs >= (exchange.holdUntilUs ?? exchange.dueUs))
+    return dispatch(leaveFlight(view, exchange), id);
+  return view.atUs >= firstPieceDeadlineUsOf(exchange) ? failSlowAttempt(view, exchange) : withoutEffects(view);
 };
 
-/** Lets time pass: stages, waits, budgets and slow servers. Looks through the exchanges only once one may have something to do. */
+/**
+ * Handles the passage of time: changes of the topology, holds and budgets that end, and slow servers. Visits the exchanges
+ * only when the earliest deadline among them has passed.
+ */
 export const onTick = (view: DecisionView): DecisionStep => {
-  const staged = platformUsOf(view) >= view.stage.nextChangeUs ? restage(view) : still(view);
-  if (view.atUs < view.wakeUs) return staged;
-  const wokenExchanges = [...view.exchanges.values()].filter((exchange) => view.atUs >= wakeUsOf(exchange));
-  const woken = overAll(
-    staged,
-    wokenExchanges.map((exchange) => exchange.exchange),
+  const updated = platformUsOf(view) >= view.topology.nextChangeUs ? updateTopology(view) : withoutEffects(view);
+  if (view.atUs < view.wakeUs) return updated;
+  const dueExchanges = [...view.exchanges.values()].filter((exchange) => view.atUs >= nextDeadlineUsOf(exchange));
+  const ticked = stepAll(
+    updated,
+    dueExchanges.map((exchange) => exchange.exchange),
     onExchangeTick,
   );
-  const wakeUs = woken.view.exchanges.reduce(
-    (least, exchange) => Math.min(least, wakeUsOf(exchange)),
+  const wakeUs = ticked.view.exchanges.reduce(
+    (earliest, exchange) => Math.min(earliest, nextDeadlineUsOf(exchange)),
     Number.POSITIVE_INFINITY,
   );
-  return { view: { ...woken.view, wakeUs }, effects: woken.effects };
+  return { view: { ...ticked.view, wakeUs }, effects: ticked.effects };
 };
--- a/src/decision/machine/step/placement.ts
+++ b/src/decision/machine/step/placement.ts
@@ -3,9 +3,9 @@
 import type { PaceKey } from '../../pace/pace.js';
 import type { Reason } from '../effect/reason.js';
 
-/** Where an exchange is to go, and the slot that this takes. */
+/** The server chosen for an exchange, and the pace slot that a delivery to it uses. */
 export type Placement = {
   readonly server: ServerKey;
   readonly reason: Reason;
-  readonly slot: { readonly paceKey: PaceKey; readonly spanUs: Micros } | undefined;
+  readonly paceSlot: { readonly paceKey: PaceKey; readonly spanUs: Micros } | undefined;
 };
--- a/src/decision/machine/step/ring-pressure.ts
+++ b/src/decision/machine/step/ring-pressure.ts
@@ -1,43 +1,43 @@
 import type { ServerKey } from '../../../servers/list/server-key.js';
 import { ringOwners } from '../../ring/ring.js';
-import type { ServiceStage } from '../../timeline/service-stage.js';
-import type { Stage } from '../../timeline/stage.js';
+import type { ServiceTopology } from '../../topology/service-topology.js';
+import type { Topology } from '../../topology/topology.js';
 import type { DecisionView } from '../view/decision-view.js';
 import type { ExchangeView } from '../view/exchange-view.js';
 
 type RingPressure = DecisionView['ringPressure'];
 
-/** The sums, counted anew for a new stage. */
-export const ringPressureAt = (stage: Stage, pressure: DecisionView['pressure']): RingPressure =>
+/** The pressure on each service's ring, summed over all its servers. */
+export const sumRingPressure = (topology: Topology, pressure: DecisionView['pressure']): RingPressure =>
   new Map(
-    [...stage.services.values()].map((serviceStage) => [
-      serviceStage.service,
-      [...ringOwners(serviceStage.ring)].reduce((sum, owner) => sum + (pressure.get(owner) ?? 0), 0),
+    [...topology.services.values()].map((serviceTopology) => [
+      serviceTopology.service,
+      [...ringOwners(serviceTopology.ring)].reduce((sum, owner) => sum + (pressure.get(owner) ?? 0), 0),
     ]),
   );
 
-/** The sums after a server's pressure has changed. */
-export const ringPressureAfter = (view: DecisionView, server: ServerKey, change: number): RingPressure =>
+/** The sums after the pressure on one server has changed by `change`. */
+export const adjustRingPressure = (view: DecisionView, server: ServerKey, change: number): RingPressure =>
   new Map(
     [...view.ringPressure].map(([service, sum]) => {
-      const ring = view.stage.services.get(service)?.ring;
+      const ring = view.topology.services.get(service)?.ring;
       return [service, ring !== undefined && ringOwners(ring).has(server) ? sum + change : sum];
     }),
   );
 
-/** How many servers of a ring an exchange can use, and the sum of their pressure. */
-export const usableIn = (
+/** The number of servers in the ring that are reachable and untried by the exchange, and the sum of their pressure. */
+export const usableOwnersOf = (
   view: DecisionView,
-  stage: ServiceStage,
+  topology: ServiceTopology,
   exchange: ExchangeView,
 ): { readonly count: number; readonly pressure: number } => {
-  const owners = ringOwners(stage.ring);
-  const unusableOwners = [...new Set([...view.dark, ...exchange.tried])].filter((server) => owners.has(server));
+  const owners = ringOwners(topology.ring);
+  const unusableOwners = [...new Set([...view.dark, ...exchange.triedServers])].filter((server) => owners.has(server));
   return {
     count: owners.size - unusableOwners.length,
     pressure: unusableOwners.reduce(
       (sum, server) => sum - (view.pressure.get(server) ?? 0),
-      view.ringPressure.get(stage.service) ?? 0,
+      view.ringPressure.get(topology.service) ?? 0,
     ),
   };
 };
--- a/src/decision/machine/step/step.ts
+++ b/src/decision/machine/step/step.ts
@@ -1,33 +1,33 @@
 import { withFailure } from '../../health/server-failures.js';
-import { withReading } from '../../work/busy.js';
+import { withPrefill } from '../../work/prefill-estimate.js';
 import { withoutSpan } from '../../../common/clock/time-bound.js';
-import { countsAfter } from '../../retry/router-counts.js';
+import { withRouterCount } from '../../retry/router-counts.js';
 import { positionEnd, positionOf } from '../../ring/position.js';
 import type { DecisionEvent } from '../event/decision-event.js';
 import { platformUsOf, type DecisionView } from '../view/decision-view.js';
-import { still, type DecisionStep } from './decision-step.js';
+import { withoutEffects, type DecisionStep } from './decision-step.js';
 import { onAbandoned, onDone, onFailed, onFirstPiece, onSent } from './on-delivery.js';
 import { onExchange } from './on-exchange.js';
 import { onList, withPlatformUs } from './on-list.js';
 import { onSetup } from './on-setup.js';
 import { onTick } from './on-tick.js';
-import { restage } from './restage.js';
+import { updateTopology } from './update-topology.js';
 
 const onTime = (view: DecisionView): DecisionStep =>
-  platformUsOf(view) >= view.stage.nextChangeUs ? restage(view) : still(view);
+  platformUsOf(view) >= view.topology.nextChangeUs ? updateTopology(view) : withoutEffects(view);
 
 const onEvent = (view: DecisionView, event: DecisionEvent): DecisionStep => {
   switch (event.type) {
     case 'node':
-      return still({ ...view, phase: positionOf(event.node) / positionEnd });
+      return withoutEffects({ ...view, slotOffset: positionOf(event.node) / positionEnd });
     case 'fleet':
-      return still({ ...view, counts: countsAfter(view.counts, event.routers, view.atUs) });
+      return withoutEffects({ ...view, routerCounts: withRouterCount(view.routerCounts, event.routers, view.atUs) });
     case 'setup':
       return onSetup(view, event.record);
     case 'list':
       return onList(view, event.list);
     case 'gap':
-      return still(view);
+      return withoutEffects(view);
     case 'time':
       return onTime(withPlatformUs(view, event.platformUs));
     case 'exchange':
@@ -43,25 +43,31 @@
     case 'abandoned':
       return onAbandoned(view, event.exchange);
     case 'work':
-      return still(withReading(view, event.server, event.service, event.tokens));
+      return withoutEffects(withPrefill(view, event.server, event.service, event.tokens));
     case 'failure':
-      return still({ ...view, failures: withFailure(view.failures, event.server, event.cause, view.atUs) });
+      return withoutEffects({ ...view, failures: withFailure(view.failures, event.server, event.cause, view.atUs) });
     case 'load': {
       const { running, waiting, slots } = event;
-      return still({ ...view, loads: view.loads.set(event.server, { running, waiting, slots, atUs: view.atUs }) });
+      return withoutEffects({
+        ...view,
+        loads: view.loads.set(event.server, { running, waiting, slots, atUs: view.atUs }),
+      });
     }
     case 'dark':
-      return still({ ...view, dark: new Set([...view.dark, event.server]) });
+      return withoutEffects({ ...view, dark: new Set([...view.dark, event.server]) });
     case 'light':
-      return still({ ...view, dark: new Set([...view.dark].filter((key) => key !== event.server)) });
+      return withoutEffects({ ...view, dark: new Set([...view.dark].filter((server) => server !== event.server)) });
     case 'tick':
       return onTick(view);
     case 'drain':
-      return still({ ...view, draining: true });
+      return withoutEffects({ ...view, draining: true });
   }
 };
 
-/** The decision machine: one event in, a new view and its decisions out; no clock, no chance, no I/O. */
+/**
+ * The decision machine as a pure function: no clock, no randomness, no I/O. Equal views and events give equal decisions,
+ * so a trace of events can be replayed.
+ */
 export const stepDecision = (view: DecisionView, event: DecisionEvent): DecisionStep => {
   const nowView: DecisionView = {
     ...view,
@@ -69,10 +75,10 @@
     startedUs: view.startedUs ?? event.at,
     platform: event.type === 'gap' ? withoutSpan(view.platform, event.spanUs) : view.platform,
   };
-  if (event.type !== 'tick' && platformUsOf(nowView) >= nowView.stage.nextChangeUs) {
-    const staged = restage(nowView);
-    const step = onEvent(staged.view, event);
-    return { view: step.view, effects: [...staged.effects, ...step.effects] };
+  if (event.type !== 'tick' && platformUsOf(nowView) >= nowView.topology.nextChangeUs) {
+    const updated = updateTopology(nowView);
+    const step = onEvent(updated.view, event);
+    return { view: step.view, effects: [...updated.effects, ...step.effects] };
   }
   return onEvent(nowView, event);
 };
--- a/src/decision/machine/step/restage.ts
+++ b/src/decision/machine/step/update-topology.ts
@@ -1,11 +1,11 @@
 import { serverKeyOf } from '../../../servers/list/server-key.js';
 import { ringOwners } from '../../ring/ring.js';
-import { stageAt } from '../../timeline/stage.js';
-import type { Migration } from '../../timeline/migration.js';
+import { topologyAt } from '../../topology/topology.js';
+import type { Migration } from '../../topology/migration.js';
 import type { Decision } from '../effect/decision.js';
 import { platformUsOf, type DecisionView } from '../view/decision-view.js';
-import { still, type DecisionStep } from './decision-step.js';
-import { ringPressureAt } from './ring-pressure.js';
+import { withoutEffects, type DecisionStep } from './decision-step.js';
+import { sumRingPressure } from './ring-pressure.js';
 
 const bookedDecision = (service: string, migration: Migration): readonly Decision[] =>
   migration.key === undefined
@@ -21,14 +21,17 @@
         },
       ];
 
-/** Derives the stage anew from setup, list and time, and tells what changed on the time line. */
-export const restage = (view: DecisionView): DecisionStep => {
-  if (view.record === undefined || view.list === undefined) return still(view);
-  const stage = stageAt(view.record, view.list, platformUsOf(view));
-  const pendingJoins = [...stage.services.values()].flatMap((serviceStage) =>
-    serviceStage.pending
+/**
+ * Derives the topology again from configuration, server list and platform time. Decides which joins were booked, have
+ * entered the ring or were withdrawn since, and drops state of servers that are no longer listed.
+ */
+export const updateTopology = (view: DecisionView): DecisionStep => {
+  if (view.record === undefined || view.list === undefined) return withoutEffects(view);
+  const nextTopology = topologyAt(view.record, view.list, platformUsOf(view));
+  const pendingJoins = [...nextTopology.services.values()].flatMap((serviceTopology) =>
+    serviceTopology.pending
       .filter((migration) => migration.type === 'join')
-      .map((migration) => ({ service: serviceStage.service, migration })),
+      .map((migration) => ({ service: serviceTopology.service, migration })),
   );
   const joining = new Map(
     pendingJoins.flatMap(({ service, migration }) =>
@@ -43,7 +46,7 @@
   const endedDecisions = [...view.joining]
     .filter(([key]) => !joining.has(key))
     .map(([key, { service, entryUs }]): Decision => {
-      const ring = stage.services.get(service)?.ring;
+      const ring = nextTopology.services.get(service)?.ring;
       const isInRing = ring !== undefined && ringOwners(ring).has(key);
       return isInRing
         ? { type: 'entered', server: key, service, entryUs }
@@ -53,11 +56,11 @@
   return {
     view: {
       ...view,
-      stage,
+      topology: nextTopology,
       joining,
-      ringPressure: ringPressureAt(stage, view.pressure),
-      busy: view.busy.filter((busyUs) => busyUs > view.atUs),
-      warmth: view.warmth.filter((_, key) => listedKeys.has(key)),
+      ringPressure: sumRingPressure(nextTopology, view.pressure),
+      prefillEndTimes: view.prefillEndTimes.filter((endUs) => endUs > view.atUs),
+      cachedPrefixes: view.cachedPrefixes.filter((_, key) => listedKeys.has(key)),
       dark: new Set([...view.dark].filter((key) => listedKeys.has(key))),
     },
     effects: [...endedDecisions, ...bookedDecisions],
--- a/src/decision/machine/view/decision-view.ts
+++ b/src/decision/machine/view/decision-view.ts
@@ -8,72 +8,79 @@
 import type { ServerFailures } from '../../health/server-failures.js';
 import type { ServerLoads } from '../../health/server-load.js';
 import { emptyHotness, type Hotness } from '../../hotness/hotness.js';
-import { mostCounted, type RouterCounts } from '../../retry/router-counts.js';
-import { usualPolicy, type DecisionPolicy } from '../../policy.js';
+import { greatestCount, type RouterCounts } from '../../retry/router-counts.js';
+import { defaultPolicy, type DecisionPolicy } from '../../policy.js';
 import { emptyPace, type Pace } from '../../pace/pace.js';
-import type { Tries } from '../../retry/tries.js';
+import type { AttemptWindow } from '../../retry/attempt-window.js';
 import type { Prefix } from '../../ring/prefix.js';
-import type { Stage } from '../../timeline/stage.js';
-import type { Busy } from '../../work/busy.js';
+import type { Topology } from '../../topology/topology.js';
+import type { PrefillEndTimes } from '../../work/prefill-estimate.js';
 import type { ExchangeView } from './exchange-view.js';
 
-/** The whole view of the decision machine. */
+/** The immutable state of the decision machine: what one router has learned and decided so far. */
 export type DecisionView = {
+  /** The monotonic time of the latest event. */
   readonly atUs: Micros;
   readonly startedUs: Micros | undefined;
-  /** How far this node's slots lie behind the beginning of a migration, in parts of a slot. */
-  readonly phase: number;
-  /** The platform's time as far as it is certain. */
+  /** Offset of this node's pace slots from the beginning of a migration, as a fraction of a slot. */
+  readonly slotOffset: number;
+  /** A lower bound of the platform time. */
   readonly platform: TimeBound | undefined;
+  /** The latest replicated configuration. */
   readonly record: SetupRecord | undefined;
-  /** How many routers were counted, by when; the last of each window that is still of concern. */
-  readonly counts: RouterCounts;
+  /** Recent counts of the routers in the fleet, with the time until which each holds. */
+  readonly routerCounts: RouterCounts;
   readonly list: ServerList | undefined;
-  readonly stage: Stage;
+  readonly topology: Topology;
+  /** Servers with a booking that have not entered the ring. */
   readonly joining: ReadonlyMap<ServerKey, { readonly service: string; readonly entryUs: Micros }>;
   readonly hotness: Hotness;
-  readonly warmth: PersistentMap<ServerKey, PersistentMap<Prefix, Micros>>;
+  /** The prefixes that each server has prefilled for this node, and when it last did. */
+  readonly cachedPrefixes: PersistentMap<ServerKey, PersistentMap<Prefix, Micros>>;
   readonly pace: Pace;
   readonly flights: PersistentMap<FlightKey, Flight>;
-  /** In the order in which they came. */
+  /** The exchanges in progress, in order of arrival. */
   readonly exchanges: PersistentMap<string, ExchangeView>;
-  /** No exchange has anything to do by itself before this moment. */
+  /** No exchange has a deadline before this time. */
   readonly wakeUs: Micros;
-  readonly busy: Busy;
-  /** Tokens a second that a server of each service has been seen to read. */
-  readonly rates: PersistentMap<string, number>;
+  readonly prefillEndTimes: PrefillEndTimes;
+  /** Measured prefill rate by service, in tokens per second and server. */
+  readonly prefillRates: PersistentMap<string, number>;
+  /** Number of exchanges that this node has in progress at each server. */
   readonly pressure: PersistentMap<ServerKey, number>;
-  /** The sum of the pressure on the servers in each service's ring. */
+  /** The pressure by service, summed over the servers of its ring. */
   readonly ringPressure: ReadonlyMap<string, number>;
+  /** Servers to which no connection can be opened. */
   readonly dark: ReadonlySet<ServerKey>;
-  /** Failures of servers, here and at other routers. */
+  /** Failure scores from this and other routers. */
   readonly failures: ServerFailures;
-  /** What servers have told of their load, here and to other routers. */
+  /** The latest load reports of the servers, to this and other routers. */
   readonly loads: ServerLoads;
-  readonly tries: PersistentMap<string, Tries>;
+  /** Recent attempts by service, for the retry budget. */
+  readonly tries: PersistentMap<string, AttemptWindow>;
   readonly draining: boolean;
   /** Which parts of the decision are on; it never changes. */
   readonly policy: DecisionPolicy;
 };
 
-export const startDecisionView: DecisionView = {
+export const initialDecisionView: DecisionView = {
   atUs: 0,
   startedUs: undefined,
-  phase: 0,
+  slotOffset: 0,
   platform: undefined,
   record: undefined,
-  counts: [],
+  routerCounts: [],
   list: undefined,
-  stage: { services: new Map(), nextChangeUs: Number.POSITIVE_INFINITY },
+  topology: { services: new Map(), nextChangeUs: Number.POSITIVE_INFINITY },
   joining: new Map(),
   hotness: emptyHotness,
-  warmth: emptyMap(),
+  cachedPrefixes: emptyMap(),
   pace: emptyPace,
   flights: emptyMap(),
   exchanges: emptyOrderedMap(),
   wakeUs: Number.POSITIVE_INFINITY,
-  busy: emptyMap(),
-  rates: emptyMap(),
+  prefillEndTimes: emptyMap(),
+  prefillRates: emptyMap(),
   pressure: emptyMap(),
   ringPressure: new Map(),
   dark: new Set(),
@@ -81,13 +88,13 @@
   loads: emptyMap(),
   tries: emptyMap(),
   draining: false,
-  policy: usualPolicy,
+  policy: defaultPolicy,
 };
 
-/** The platform's time at this view's moment. */
+/** The lower bound of the platform time at `view.atUs`; the monotonic time itself before any was received. */
 export const platformUsOf = (view: DecisionView): Micros =>
   view.platform === undefined ? view.atUs : boundAt(view.platform, view.atUs);
 
-/** How many routers share what the fleet allows: as the setup says, or as many as were counted; without end before any count. */
+/** The number of routers that share fleet-wide limits: configured, else counted; infinite before the first count. */
 export const routersOf = (view: DecisionView): number =>
-  view.record?.setup.fleet?.routers ?? mostCounted(view.counts, view.atUs) ?? Number.POSITIVE_INFINITY;
+  view.record?.setup.fleet?.routers ?? greatestCount(view.routerCounts, view.atUs) ?? Number.POSITIVE_INFINITY;
--- a/src/decision/machine/view/exchange-view.ts
+++ b/src/decision/machine/view/exchange-view.ts
@@ -6,35 +6,46 @@
 import type { Work } from '../../work/work.js';
 import type { Prefix } from '../../ring/prefix.js';
 
-/** One exchange in the machine's view. */
+/**
+ * The state of one exchange: a client's request and its response, over all attempts at servers. At most one attempt runs at
+ * a time.
+ */
 export type ExchangeView = {
   readonly exchange: string;
   readonly rule: Rule;
-  readonly tierPlace: number;
+  readonly tierIndex: number;
   readonly prefix: Prefix;
   readonly position: Position;
   readonly work: Work | undefined;
   readonly arrivedUs: Micros;
-  /** What its server had to read, and how long it would have to wait before that, as far as was known. */
-  readonly given: { readonly tokens: number; readonly waitUs: Micros };
+  /** Estimates for the running attempt: tokens to prefill, and the wait before that at the server. */
+  readonly estimate: { readonly tokens: number; readonly waitUs: Micros };
+  /** The end of the time budget. */
   readonly dueUs: Micros;
+  /** The number of the latest attempt, from 1; 0 before the first. */
   readonly attempt: number;
-  readonly tried: readonly ServerKey[];
-  /** The server of the running try; none while held. */
+  /** All servers of its attempts, the running one included. */
+  readonly triedServers: readonly ServerKey[];
+  /** The server of the running attempt; undefined while held. */
   readonly server: ServerKey | undefined;
+  /** When the latest attempt was decided. */
   readonly deliveredUs: Micros;
+  /** Whether the running attempt has been sent. */
   readonly sent: boolean;
+  /** Whether any piece has arrived. */
   readonly started: boolean;
-  /** The next piece that the caller is owed. */
+  /** The next piece to deliver to the client. */
   readonly fromPiece: number;
-  /** Whether the next try repeats work that may have begun. */
-  readonly nextIsExtra: boolean;
-  /** Whether any try so far may have run. */
+  /** Whether the next attempt counts as a retry, since the exchange was sent to a server before. */
+  readonly isNextRetry: boolean;
+  /** Whether any attempt so far may have run. */
   readonly mayHaveRun: boolean;
-  /** How many servers it was sent to. */
-  readonly sends: number;
-  readonly leads: FlightKey | undefined;
-  readonly follows: FlightKey | undefined;
-  /** When waiting behind a prefill ends; set by the first wait, never moved. */
+  /** The number of servers that it was sent to. */
+  readonly sentCount: number;
+  /** The flight that it leads. */
+  readonly leadsFlight: FlightKey | undefined;
+  /** The flight that it waits for. */
+  readonly followsFlight: FlightKey | undefined;
+  /** The end of holding behind prefills; set by the first hold and never extended. */
   readonly holdUntilUs: Micros | undefined;
 };
--- a/src/decision/pace/pace.ts
+++ b/src/decision/pace/pace.ts
@@ -3,29 +3,33 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Range } from '../ring/range.js';
 
-/** When each range of a changing server may next take a prefill from this node. */
+/**
+ * The pace of cold prefills in migrations: per range that changes its owner, the time from which this node may send the next
+ * one.
+ */
 export type Pace = {
-  readonly freeUs: PersistentMap<PaceKey, Micros>;
-  /** Slots that lie behind are forgotten once there are so many. */
+  readonly nextSlotUs: PersistentMap<PaceKey, Micros>;
+  /** The number of entries at which those that lie in the past are dropped. */
   readonly most: number;
 };
 
-/** A range at the server that takes it over. */
+/** A range and the server that takes it over. */
 export type PaceKey = string;
 
-const leastMost = 128;
+const minPruneSize = 128;
 
-export const emptyPace: Pace = { freeUs: emptyMap(), most: leastMost };
+export const emptyPace: Pace = { nextSlotUs: emptyMap(), most: minPruneSize };
 
 export const paceKeyOf = (key: ServerKey, range: Range): PaceKey => `${key}|${range.upTo}`;
 
-export const paceAllows = (pace: Pace, paceKey: PaceKey, atUs: Micros): boolean =>
-  (pace.freeUs.get(paceKey) ?? 0) <= atUs;
+/** Whether the next slot of a range has begun. */
+export const isSlotFree = (pace: Pace, paceKey: PaceKey, atUs: Micros): boolean =>
+  (pace.nextSlotUs.get(paceKey) ?? 0) <= atUs;
 
-/** Takes the range's next slot. At most twice as many slots are kept as were ahead at once, and 128. */
-export const paceTaken = (pace: Pace, paceKey: PaceKey, atUs: Micros, spanUs: Micros): Pace => {
-  const freeUs = pace.freeUs.set(paceKey, atUs + spanUs);
-  if (freeUs.size < pace.most) return { freeUs, most: pace.most };
-  const aheadUs = freeUs.filter((slotUs) => slotUs > atUs);
-  return { freeUs: aheadUs, most: Math.max(leastMost, aheadUs.size * 2) };
+/** Uses up the current slot of a range. Keeps at most twice as many entries as ever lay in the future at once, or 128. */
+export const takeSlot = (pace: Pace, paceKey: PaceKey, atUs: Micros, spanUs: Micros): Pace => {
+  const slots = pace.nextSlotUs.set(paceKey, atUs + spanUs);
+  if (slots.size < pace.most) return { nextSlotUs: slots, most: pace.most };
+  const futureSlots = slots.filter((slotUs) => slotUs > atUs);
+  return { nextSlotUs: futureSlots, most: Math.max(minPruneSize, futureSlots.size * 2) };
 };
--- a/src/decision/policy.ts
+++ b/src/decision/policy.ts
@@ -1,29 +1,30 @@
 /**
- * The parts of the decision that can be switched off one by one, so that an experiment shows what each is worth. A router
- * that serves has all of them on.
+ * Parts of the routing decision that an experiment can switch off one by one (ablation) to measure what each is worth.
+ * A serving router has all of them on. The command line takes the names as they are written here.
  */
 export type DecisionPolicy = {
-  /** Requests of one cold prompt prefix wait at a router for the first of them. */
+  /** Requests with the same cold prompt prefix wait until the first of them has prefilled it. */
   readonly singleFlight: boolean;
-  /** Joining and leaving servers get work by the schedule of their booking. */
+  /** Joining and leaving servers receive traffic on the schedule of their booking. */
   readonly bookings: boolean;
-  /** Cold prefixes go to a newcomer's ranges one after another. */
+  /** Each range of a joining server receives cold prefixes one at a time, at the configured pace. */
   readonly pace: boolean;
-  /** A request that would miss its target at its owner goes to a server that is sooner free. */
+  /** A request that would miss its latency target at its owner goes to a server that is expected to respond sooner. */
   readonly quickerServer: boolean;
-  /** Long prompts are told to other routers. */
+  /** Long prefills are announced to the other routers. */
   readonly toldWork: boolean;
-  /** Servers are told how urgent a request is. */
+  /** Requests carry an urgency by which the server orders its queue. */
   readonly urgency: boolean;
-  /** Servers that failed of late, here or elsewhere, are passed over. */
+  /** Servers with recent failures, at this or another router, are ejected for a while. */
   readonly failures: boolean;
-  /** Servers that tell a full load, here or elsewhere, are passed over. */
+  /** Servers that report a saturated load, to this or another router, are skipped. */
   readonly loads: boolean;
-  /** What may run again is tried again elsewhere. */
+  /** Repeatable requests are retried on another server. */
   readonly retries: boolean;
 };
 
-export const usualPolicy: DecisionPolicy = {
+/** Every part on: the policy of a serving router. */
+export const defaultPolicy: DecisionPolicy = {
   singleFlight: true,
   bookings: true,
   pace: true,
@@ -35,7 +36,7 @@
   retries: true,
 };
 
-/** The parts by name, in the order in which they are played. */
+/** The names of all parts, in the order in which an experiment leaves them out. */
 export const policyParts: readonly (keyof DecisionPolicy)[] = [
   'singleFlight',
   'bookings',
@@ -48,5 +49,5 @@
   'retries',
 ];
 
-/** The usual policy without one part. */
-export const policyWithout = (part: keyof DecisionPolicy): DecisionPolicy => ({ ...usualPolicy, [part]: false });
+/** The default policy with one part switched off. */
+export const policyWithout = (part: keyof DecisionPolicy): DecisionPolicy => ({ ...defaultPolicy, [part]: false });
--- a/src/decision/retry/router-counts.ts
+++ b/src/decision/retry/router-counts.ts
@@ -1,25 +1,26 @@
 import type { Micros } from '../../common/micros.js';
-import { windowUs } from './tries.js';
+import { windowUs } from './attempt-window.js';
 
-/** How many routers were counted, and until when each count held; the last one still holds. */
+/** Counts of the routers in the fleet, and until when each holds; the latest holds until further notice. */
 export type RouterCounts = readonly { readonly routers: number; readonly untilUs: Micros }[];
 
 /**
- * For how long a count goes on to hold after a lower one came: nodes learn of a loss at different moments, and what the
- * greater number gave out is still in the window.
+ * How long a count holds after a lower one replaced it: nodes learn of a loss at different times, and the retries of the
+ * lost nodes are still in the window.
  */
-export const countHeldUs: Micros = 2 * windowUs;
+export const countHoldUs: Micros = 2 * windowUs;
 
-export const countsAfter = (counts: RouterCounts, routers: number, atUs: Micros): RouterCounts => {
-  const held = counts
-    .map((count) => (count.untilUs === Number.POSITIVE_INFINITY ? { ...count, untilUs: atUs + countHeldUs } : count))
+/** Adds a count. Lower earlier counts are dropped; greater ones hold for a while longer. */
+export const withRouterCount = (counts: RouterCounts, routers: number, atUs: Micros): RouterCounts => {
+  const earlier = counts
+    .map((count) => (count.untilUs === Number.POSITIVE_INFINITY ? { ...count, untilUs: atUs + countHoldUs } : count))
     .filter((count) => count.untilUs > atUs && count.routers > routers);
-  return [...held, { routers, untilUs: Number.POSITIVE_INFINITY }];
+  return [...earlier, { routers, untilUs: Number.POSITIVE_INFINITY }];
 };
 
-/** The greatest count that holds; none before the first one. */
-export const mostCounted = (counts: RouterCounts, atUs: Micros): number | undefined =>
+/** The greatest count that holds; undefined before the first one. */
+export const greatestCount = (counts: RouterCounts, atUs: Micros): number | undefined =>
   counts.reduce<number | undefined>(
-    (most, { routers, untilUs }) => (untilUs > atUs ? Math.max(most ?? 0, routers) : most),
+    (greatest, { routers, untilUs }) => (untilUs > atUs ? Math.max(greatest ?? 0, routers) : greatest),
     undefined,
   );
--- a/src/decision/ring/across-localities.ts
+++ b/src/decision/ring/interleaved-owners.ts
@@ -1,8 +1,8 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
-import { ownersInTurn } from './owners-in-turn.js';
+import { interleaveByLocality } from './interleave-by-locality.js';
 
-/** How many servers each locality has. */
-export const sizesOf = (
+/** The number of servers in each locality. */
+export const localitySizesOf = (
   owners: Iterable<ServerKey>,
   localityOf: (owner: ServerKey) => string,
 ): ReadonlyMap<string, number> => {
@@ -11,8 +11,8 @@
   return sizes;
 };
 
-/** All owners at once, in the order of `ownersInTurn`. */
-export const acrossLocalities = (
+/** All owners in the order of `interleaveByLocality`. */
+export const interleavedOwners = (
   owners: readonly ServerKey[],
   localityOf: (owner: ServerKey) => string,
-): readonly ServerKey[] => [...ownersInTurn(owners, localityOf, sizesOf(owners, localityOf))];
+): readonly ServerKey[] => [...interleaveByLocality(owners, localityOf, localitySizesOf(owners, localityOf))];
--- a/src/decision/ring/owners-at.ts
+++ b/src/decision/ring/owners-at.ts
@@ -1,61 +1,65 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
-import type { ServiceStage } from '../timeline/service-stage.js';
-import { sizesOf } from './across-localities.js';
-import { ownersInTurn, type LocalitySizes } from './owners-in-turn.js';
+import type { ServiceTopology } from '../topology/service-topology.js';
+import { localitySizesOf } from './interleaved-owners.js';
+import { interleaveByLocality, type LocalitySizes } from './interleave-by-locality.js';
 import type { Position } from './position.js';
-import { ringOwners, vnodeIndexAt, walkedOwners } from './ring.js';
+import { ringOwners, vnodeIndexAt, walkOwners } from './ring.js';
 
-type Kept = { readonly sizes: LocalitySizes; readonly first: Map<number, readonly ServerKey[]> };
+/** Sizes of the localities, and the first owners by vnode index. */
+type OwnerCache = { readonly sizes: LocalitySizes; readonly first: Map<number, readonly ServerKey[]> };
 
-/** At most so many owners are kept for a vnode; those behind them are walked for anew. */
-const keptOwners = 8;
+/** Owners cached per vnode; those after them are found by walking the ring again. */
+const cachedOwnersPerVnode = 8;
 
-/** What is known of a stage goes with it: at most `keptOwners` names for each of its vnodes. */
-const keptByStage = new WeakMap<ServiceStage, Kept>();
+/** Caches live as long as their topology. */
+const cacheByTopology = new WeakMap<ServiceTopology, OwnerCache>();
 
-const localityIn =
-  (stage: ServiceStage) =>
+const localityLookup =
+  (topology: ServiceTopology) =>
   (owner: ServerKey): string =>
-    stage.localities.get(owner) ?? '';
-
-const keptOf = (stage: ServiceStage): Kept => {
-  const known = keptByStage.get(stage);
-  if (known !== undefined) return known;
-  const kept: Kept = { sizes: sizesOf(ringOwners(stage.ring), localityIn(stage)), first: new Map() };
-  keptByStage.set(stage, kept);
-  return kept;
+    topology.localities.get(owner) ?? '';
+
+const cacheOf = (topology: ServiceTopology): OwnerCache => {
+  const cached = cacheByTopology.get(topology);
+  if (cached !== undefined) return cached;
+  const cache: OwnerCache = {
+    sizes: localitySizesOf(ringOwners(topology.ring), localityLookup(topology)),
+    first: new Map(),
+  };
+  cacheByTopology.set(topology, cache);
+  return cache;
 };
 
 function* firstThenRest(first: readonly ServerKey[], rest: () => Iterable<ServerKey>): Generator<ServerKey, void> {
   yield* first;
-  if (first.length < keptOwners) return;
-  let place = 0;
+  if (first.length < cachedOwnersPerVnode) return;
+  let index = 0;
   for (const owner of rest()) {
-    if (place >= first.length) yield owner;
-    place += 1;
+    if (index >= first.length) yield owner;
+    index += 1;
   }
 }
 
-/** The owners of a position across localities: the first few at hand, all of them by a walk that goes as far as needed. */
+/** The owners of a position, interleaved by locality: the first few from a cache, all of them by a lazy walk of the ring. */
 export const ownersAt = (
-  stage: ServiceStage,
+  topology: ServiceTopology,
   position: Position,
 ): { readonly first: readonly ServerKey[]; readonly all: () => Iterable<ServerKey> } => {
-  const kept = keptOf(stage);
-  const vnodeIndex = vnodeIndexAt(stage.ring, position);
+  const cache = cacheOf(topology);
+  const vnodeIndex = vnodeIndexAt(topology.ring, position);
   const walk = (): Iterable<ServerKey> =>
-    ownersInTurn(walkedOwners(stage.ring, vnodeIndex), localityIn(stage), kept.sizes);
-  const known = kept.first.get(vnodeIndex);
-  const first = known ?? [...taken(walk(), keptOwners)];
-  if (known === undefined) kept.first.set(vnodeIndex, first);
+    interleaveByLocality(walkOwners(topology.ring, vnodeIndex), localityLookup(topology), cache.sizes);
+  const cached = cache.first.get(vnodeIndex);
+  const first = cached ?? [...takeFirst(walk(), cachedOwnersPerVnode)];
+  if (cached === undefined) cache.first.set(vnodeIndex, first);
   return { first, all: () => firstThenRest(first, walk) };
 };
 
-function* taken(owners: Iterable<ServerKey>, count: number): Generator<ServerKey, void> {
-  let place = 0;
+function* takeFirst(owners: Iterable<ServerKey>, count: number): Generator<ServerKey, void> {
+  let index = 0;
   for (const owner of owners) {
     yield owner;
-    place += 1;
-    if (place >= count) return;
+    index += 1;
+    if (index >= count) return;
   }
 }
--- a/src/decision/ring/prefix.ts
+++ b/src/decision/ring/prefix.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 
-/** The name of a shared opening: a hash, so that no client text is kept. */
+/** Identifies a shared prompt prefix by a hash, so that no client text is stored. */
 export type Prefix = string;
 
 export const prefixOf = (service: string, opening: string): Prefix =>
--- a/src/decision/ring/range.ts
+++ b/src/decision/ring/range.ts
@@ -1,7 +1,7 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Position } from './position.js';
 
-/** An arc of the ring that changes its owner; it holds the positions after `after` up to `upTo`. */
+/** An arc of the ring that changes its owner: the positions after `after`, up to and including `upTo`, around the ring. */
 export type Range = {
   readonly after: Position;
   readonly upTo: Position;
@@ -9,12 +9,12 @@
   readonly to: ServerKey;
 };
 
-export const rangeHolds = (range: Range, position: Position): boolean =>
+export const rangeContains = (range: Range, position: Position): boolean =>
   range.after < range.upTo
     ? position > range.after && position <= range.upTo
     : position > range.after || position <= range.upTo;
 
-/** The range that holds a position, among ranges that do not overlap and stand in the order of their ends. */
+/** The range that contains a position, by binary search; `ranges` must not overlap and must be sorted by `upTo`. */
 export const rangeAt = (ranges: readonly Range[], position: Position): Range | undefined => {
   let lowIndex = 0;
   let highIndex = ranges.length;
@@ -25,5 +25,5 @@
     else highIndex = middleIndex;
   }
   const range = ranges[lowIndex % Math.max(1, ranges.length)];
-  return range !== undefined && rangeHolds(range, position) ? range : undefined;
+  return range !== undefined && rangeContains(range, position) ? range : undefined;
 };
--- a/src/decision/ring/ring-member.ts
+++ b/src/decision/ring/ring-member.ts
@@ -1,6 +1,6 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 
-/** A server as the ring knows it; its points follow from its id alone. */
+/** A server on the ring; its positions depend on its id alone. */
 export type RingMember = {
   readonly key: ServerKey;
   readonly id: string;
--- a/src/decision/ring/vnode-positions.ts
+++ b/src/decision/ring/vnode-positions.ts
@@ -1,17 +1,17 @@
 import { LRUCache } from 'lru-cache';
 import { positionOf, type Position } from './position.js';
 
-/** At most so many servers' points are kept; any other is worked out anew. */
-const keptServers = 8192;
+/** Capacity of the cache of positions, in servers; evicted ones are computed again. */
+const maxCachedServers = 8192;
 
-const kept = new LRUCache<string, readonly Position[]>({ max: keptServers });
+const cache = new LRUCache<string, readonly Position[]>({ max: maxCachedServers });
 
-/** A server's points on the ring, which follow from its id alone. */
+/** A server's positions on the ring, which depend on its id and the number of vnodes alone. */
 export const vnodePositions = (id: string, vnodeCount: number): readonly Position[] => {
-  const name = `${vnodeCount}#${id}`;
-  const known = kept.get(name);
-  if (known !== undefined) return known;
+  const cacheKey = `${vnodeCount}#${id}`;
+  const cached = cache.get(cacheKey);
+  if (cached !== undefined) return cached;
   const positions = Array.from({ length: vnodeCount }, (_, index) => positionOf(`${id}#${index}`));
-  kept.set(name, positions);
+  cache.set(cacheKey, positions);
   return positions;
 };
--- a/src/decision/timeline/migration-type.ts
+++ b/src/decision/topology/migration-type.ts
@@ -1,2 +1,2 @@
-/** The changes of a ring; each is a migration. */
+/** The kinds of change of a ring. */
 export type MigrationType = 'join' | 'leave' | 'rebalance';
--- a/src/decision/timeline/migration.ts
+++ b/src/decision/topology/migration.ts
@@ -4,14 +4,16 @@
 import type { Range } from '../ring/range.js';
 import type { MigrationType } from './migration-type.js';
 
-/** A planned change from one ring to another: previewed, paced, committed at a known moment. */
+/** A planned change of a ring: its ranges are known beforehand, it is paced, and it takes effect at a known time. */
 export type Migration = {
   readonly type: MigrationType;
   readonly name: string;
-  /** The server that joins or leaves; a rebalance has none. */
+  /** The server that joins or leaves; undefined for a rebalance. */
   readonly key: ServerKey | undefined;
   readonly fromUs: Micros;
+  /** When the new ring takes effect. */
   readonly commitUs: Micros;
+  /** When cold prefixes at the new owners are no longer paced. */
   readonly settledUs: Micros;
   readonly ranges: readonly Range[];
   readonly warmup: Warmup;
--- a/src/decision/timeline/stage.ts
+++ b/src/decision/topology/topology.ts
@@ -8,17 +8,18 @@
 import type { RingMember } from '../ring/ring-member.js';
 import { ringOf, withMember, withoutMember, type Ring } from '../ring/ring.js';
 import type { Booking } from './booking.js';
-import { bookingsOf, lengthOf, warmupAt } from './bookings.js';
+import { bookingsOf, warmupLengthUsOf, warmupAt } from './bookings.js';
 import type { Migration } from './migration.js';
-import type { ServiceStage } from './service-stage.js';
+import type { ServiceTopology } from './service-topology.js';
 
-/** How all services stand at a moment, and when that next changes by itself. */
-export type Stage = {
-  readonly services: ReadonlyMap<string, ServiceStage>;
+/** The rings and migrations of all services at a platform time, and when time alone next changes them. */
+export type Topology = {
+  readonly services: ReadonlyMap<string, ServiceTopology>;
   readonly nextChangeUs: Micros;
 };
 
-const goneAt = (server: ListedServer, record: SetupRecord): Micros =>
+/** When a leaving server gets no more exchanges. */
+const departureUsOf = (server: ListedServer, record: SetupRecord): Micros =>
   server.state === 'leaving' && server.leavingAtUs !== undefined
     ? server.leavingAtUs + record.setup.leaving.graceUs
     : Number.POSITIVE_INFINITY;
@@ -41,7 +42,7 @@
   warmup: booking.warmup,
 });
 
-/** The joins that are booked, each on the ring that those before it leave behind. */
+/** The booked joins, each on the ring that results from the joins before it. */
 const joinsOf = (booked: readonly Booking[], ring: Ring, warmup: Warmup): readonly Migration[] => {
   const joins: Migration[] = [];
   let before = ring;
@@ -52,8 +53,8 @@
   return joins;
 };
 
-const leaveOf = (booking: Booking, stayingRing: Ring, record: SetupRecord, warmup: Warmup): Migration => {
-  const commitUs = goneAt(booking.server, record);
+const leaveOf = (booking: Booking, remainingRing: Ring, record: SetupRecord, warmup: Warmup): Migration => {
+  const commitUs = departureUsOf(booking.server, record);
   return {
     type: 'leave',
     name: `leave ${booking.server.id}`,
@@ -61,18 +62,18 @@
     fromUs: booking.server.leavingAtUs ?? commitUs,
     commitUs,
     settledUs: commitUs,
-    ranges: leaveRanges(stayingRing, memberOf(booking), warmup.vnodes),
+    ranges: leaveRanges(remainingRing, memberOf(booking), warmup.vnodes),
     warmup,
   };
 };
 
 const rebalanceOf = (entered: readonly Booking[], record: SetupRecord, platformUs: Micros): Migration | undefined => {
   const currentEpoch = record.epochs.findLast((epoch) => epoch.sinceUs <= platformUs);
-  const earlierEpoch = currentEpoch && record.epochs[record.epochs.indexOf(currentEpoch) - 1];
-  if (currentEpoch === undefined || earlierEpoch === undefined) return undefined;
-  if (currentEpoch.warmup.vnodes === earlierEpoch.warmup.vnodes) return undefined;
+  const previousEpoch = currentEpoch && record.epochs[record.epochs.indexOf(currentEpoch) - 1];
+  if (currentEpoch === undefined || previousEpoch === undefined) return undefined;
+  if (currentEpoch.warmup.vnodes === previousEpoch.warmup.vnodes) return undefined;
   const warmup = currentEpoch.warmup;
-  const commitUs = currentEpoch.sinceUs + lengthOf(warmup);
+  const commitUs = currentEpoch.sinceUs + warmupLengthUsOf(warmup);
   if (platformUs >= commitUs + warmup.settleUs) return undefined;
   return {
     type: 'rebalance',
@@ -81,28 +82,36 @@
     fromUs: currentEpoch.sinceUs,
     commitUs,
     settledUs: commitUs + warmup.settleUs,
-    ranges: previewRanges(ringOfBookings(entered, earlierEpoch.warmup), ringOfBookings(entered, warmup)),
+    ranges: previewRanges(ringOfBookings(entered, previousEpoch.warmup), ringOfBookings(entered, warmup)),
     warmup,
   };
 };
 
-const serviceStageAt = (service: Service, record: SetupRecord, list: ServerList, platformUs: Micros): ServiceStage => {
+const serviceTopologyAt = (
+  service: Service,
+  record: SetupRecord,
+  list: ServerList,
+  platformUs: Micros,
+): ServiceTopology => {
   const bookings = bookingsOf(record, list.servers, service.name, service.type);
-  const present = bookings.filter((booking) => platformUs < goneAt(booking.server, record));
-  const entered = present.filter((booking) => booking.entryUs <= platformUs);
-  const booked = present.filter((booking) => booking.entryUs > platformUs && isUp(booking));
+  const active = bookings.filter((booking) => platformUs < departureUsOf(booking.server, record));
+  const entered = active.filter((booking) => booking.entryUs <= platformUs);
+  const booked = active.filter((booking) => booking.entryUs > platformUs && isUp(booking));
   const rebalance = rebalanceOf(entered, record, platformUs);
   const epochWarmup = warmupAt(record, platformUs);
-  const earlierWarmup = record.epochs[record.epochs.findLastIndex((epoch) => epoch.sinceUs <= platformUs) - 1]?.warmup;
+  const previousWarmup = record.epochs[record.epochs.findLastIndex((epoch) => epoch.sinceUs <= platformUs) - 1]?.warmup;
   const ringWarmup =
-    rebalance !== undefined && platformUs < rebalance.commitUs && earlierWarmup !== undefined
-      ? earlierWarmup
+    rebalance !== undefined && platformUs < rebalance.commitUs && previousWarmup !== undefined
+      ? previousWarmup
       : epochWarmup;
   const ring = ringOfBookings(entered, ringWarmup);
   const pendingJoins = joinsOf(booked, ring, ringWarmup);
   const leavingBookings = entered.filter((booking) => !isUp(booking));
-  const stayingRing = leavingBookings.reduce((reachedRing, booking) => withoutMember(reachedRing, booking.key), ring);
-  const pendingLeaves = leavingBookings.map((booking) => leaveOf(booking, stayingRing, record, ringWarmup));
+  const remainingRing = leavingBookings.reduce(
+    (previousRing, booking) => withoutMember(previousRing, booking.key),
+    ring,
+  );
+  const pendingLeaves = leavingBookings.map((booking) => leaveOf(booking, remainingRing, record, ringWarmup));
   const pendingRebalance = rebalance !== undefined && platformUs < rebalance.commitUs ? [rebalance] : [];
   const settledRebalance = rebalance !== undefined && platformUs >= rebalance.commitUs ? [rebalance] : [];
   const settlingJoins = entered
@@ -115,25 +124,28 @@
     pending: service.type === 'web' ? [] : [...pendingJoins, ...pendingLeaves, ...pendingRebalance],
     settling: service.type === 'web' ? [] : [...settlingJoins, ...settledRebalance],
     joining: booked.map((booking) => booking.key),
-    allowed: new Set(present.map((booking) => booking.key)),
-    localities: new Map(present.map((booking) => [booking.key, booking.server.locality])),
+    allowed: new Set(active.map((booking) => booking.key)),
+    localities: new Map(active.map((booking) => [booking.key, booking.server.locality])),
   };
 };
 
-const changesOf = (stage: ServiceStage, list: ServerList, record: SetupRecord): readonly Micros[] => [
-  ...stage.pending.map((migration) => migration.commitUs),
-  ...stage.settling.map((migration) => migration.settledUs),
-  ...list.servers.filter((server) => server.service === stage.service).map((server) => goneAt(server, record)),
+/** All times at which the topology of a service changes, past and future. */
+const changesOf = (topology: ServiceTopology, list: ServerList, record: SetupRecord): readonly Micros[] => [
+  ...topology.pending.map((migration) => migration.commitUs),
+  ...topology.settling.map((migration) => migration.settledUs),
+  ...list.servers
+    .filter((server) => server.service === topology.service)
+    .map((server) => departureUsOf(server, record)),
 ];
 
-/** The stage of the time line at a moment of the platform's time: a pure function of setup, list and moment. */
-export const stageAt = (record: SetupRecord, list: ServerList, platformUs: Micros): Stage => {
-  const stages = record.setup.services.map((service) => serviceStageAt(service, record, list, platformUs));
-  const laterChanges = stages
-    .flatMap((stage) => changesOf(stage, list, record))
+/** The topology at a platform time: a pure function of configuration, server list and time. */
+export const topologyAt = (record: SetupRecord, list: ServerList, platformUs: Micros): Topology => {
+  const topologies = record.setup.services.map((service) => serviceTopologyAt(service, record, list, platformUs));
+  const laterChanges = topologies
+    .flatMap((topology) => changesOf(topology, list, record))
     .filter((changeUs) => changeUs > platformUs);
   return {
-    services: new Map(stages.map((stage) => [stage.service, stage])),
-    nextChangeUs: laterChanges.reduce((least, changeUs) => Math.min(least, changeUs), Number.POSITIVE_INFINITY),
+    services: new Map(topologies.map((topology) => [topology.service, topology])),
+    nextChangeUs: laterChanges.reduce((earliest, changeUs) => Math.min(earliest, changeUs), Number.POSITIVE_INFINITY),
   };
 };
--- a/src/decision/trace/event-schemas.ts
+++ b/src/decision/trace/event-schemas.ts
@@ -20,7 +20,7 @@
   'key-revoked',
 ] as const;
 
-/** The checked form of each event, by its type. */
+/** The schema of each event in a trace, by type. */
 export const eventSchemas: { readonly [T in DecisionEvent['type']]: Schema<DecisionEvent> } = {
   node: object({ type: typed('node'), at: at(), node: name() }).noUnknown(),
   setup: object({ type: typed('setup'), at: at(), record: recordSchema }).noUnknown(),
--- a/src/decision/trace/parse-event.ts
+++ b/src/decision/trace/parse-event.ts
@@ -18,7 +18,7 @@
     faults,
   );
 
-/** Reads one line of a trace. */
+/** Parses one line of a trace; an error names the line and the fields. */
 export const parseEvent = (text: string, line: number): Either<TypedError, DecisionEvent> =>
   parseJson(text, 'bad-event')
     .mapLeft((error) => badEvent(line, [{ path: '', message: error.message }]))
@@ -28,6 +28,6 @@
         .chain(({ type }): Either<TypedError, DecisionEvent> =>
           isEventType(type)
             ? checked(eventSchemas[type], value).mapLeft((faults) => badEvent(line, faults))
-            : Left(badEvent(line, [{ path: 'type', message: `no event is of type ${type}` }])),
+            : Left(badEvent(line, [{ path: 'type', message: `unknown event type ${type}` }])),
         ),
     );
--- a/src/decision/trace/trace-reader.ts
+++ b/src/decision/trace/trace-reader.ts
@@ -3,57 +3,69 @@
 import type { Decision } from '../machine/effect/decision.js';
 import type { DecisionEvent } from '../machine/event/decision-event.js';
 import { stepDecision } from '../machine/step/step.js';
-import { startDecisionView, type DecisionView } from '../machine/view/decision-view.js';
+import { initialDecisionView, type DecisionView } from '../machine/view/decision-view.js';
 import { parseEvent } from './parse-event.js';
 
-/** A decision with the moment at which it was made. */
+/** A decision and the time of the event that caused it. */
 export type TimedDecision = { readonly at: number } & Decision;
 
-/** Plays the lines of a trace against the machine, one after another. */
+/** Replays a trace of events, one JSON object per line, against a decision machine. */
 export type TraceReader = {
+  /** Plays the next line. A malformed or misplaced event is an error and leaves the machine as it was. */
   readonly read: (text: string) => Either<TypedError, readonly TimedDecision[]>;
   readonly view: () => DecisionView;
 };
 
-type Misplaced = { readonly field: string; readonly message: string };
+/** Why an event cannot follow the events before it. */
+type OrderFault = { readonly field: string; readonly message: string };
 
-export const openTraceReader = (start: DecisionView = startDecisionView): TraceReader => {
-  let currentView = start;
+/** Opens a reader on a machine in the view `start`. */
+export const openTraceReader = (start: DecisionView = initialDecisionView): TraceReader => {
+  let latestView = start;
   let lineNumber = 0;
+  /** The number of the latest attempt by exchange, ended exchanges included. */
   const attempts = new Map<string, number>();
 
-  const misplacedOf = (event: DecisionEvent): Misplaced | undefined => {
-    if (event.at < currentView.atUs) return { field: 'at', message: `${event.at} is before ${currentView.atUs}` };
+  const orderFaultOf = (event: DecisionEvent): OrderFault | undefined => {
+    if (event.at < latestView.atUs)
+      return { field: 'at', message: `time ${event.at} is before ${latestView.atUs}, the time of an earlier line` };
     switch (event.type) {
       case 'setup':
-        return currentView.record !== undefined && event.record.revision <= currentView.record.revision
+        return latestView.record !== undefined && event.record.revision <= latestView.record.revision
           ? {
               field: 'record.revision',
-              message: `${event.record.revision} is not after ${currentView.record.revision}`,
+              message: `revision ${event.record.revision} is not greater than the current revision ${latestView.record.revision}`,
             }
           : undefined;
       case 'list':
-        return currentView.list !== undefined && event.list.version <= currentView.list.version
-          ? { field: 'list.version', message: `${event.list.version} is not after ${currentView.list.version}` }
+        return latestView.list !== undefined && event.list.version <= latestView.list.version
+          ? {
+              field: 'list.version',
+              message: `version ${event.list.version} is not greater than the current version ${latestView.list.version}`,
+            }
           : undefined;
       case 'exchange':
         return attempts.has(event.exchange)
-          ? { field: 'exchange', message: `${event.exchange} has come before` }
+          ? { field: 'exchange', message: `exchange ${event.exchange} already began in an earlier line` }
           : undefined;
       case 'sent':
       case 'firstPiece':
       case 'done':
       case 'failed': {
-        const madeAttempts = attempts.get(event.exchange);
-        if (madeAttempts === undefined) return { field: 'exchange', message: `${event.exchange} has not come yet` };
-        return event.attempt > madeAttempts
-          ? { field: 'attempt', message: `attempt ${event.attempt} of ${event.exchange} has not been made yet` }
+        const latestAttempt = attempts.get(event.exchange);
+        if (latestAttempt === undefined)
+          return { field: 'exchange', message: `exchange ${event.exchange} has not begun in an earlier line` };
+        return event.attempt > latestAttempt
+          ? {
+              field: 'attempt',
+              message: `attempt ${event.attempt} of exchange ${event.exchange} has not been decided yet`,
+            }
           : undefined;
       }
       case 'abandoned':
         return attempts.has(event.exchange)
           ? undefined
-          : { field: 'exchange', message: `${event.exchange} has not come yet` };
+          : { field: 'exchange', message: `exchange ${event.exchange} has not begun in an earlier line` };
       case 'node':
       case 'fleet':
       case 'gap':
@@ -70,16 +82,16 @@
   };
 
   const play = (event: DecisionEvent): Either<TypedError, readonly TimedDecision[]> => {
-    const misplaced = misplacedOf(event);
-    if (misplaced !== undefined)
+    const orderFault = orderFaultOf(event);
+    if (orderFault !== undefined)
       return Left(
-        typedError('out-of-order', `line ${lineNumber}: ${misplaced.field}: ${misplaced.message}`, [
-          { path: misplaced.field, message: misplaced.message },
+        typedError('out-of-order', `line ${lineNumber}: ${orderFault.field}: ${orderFault.message}`, [
+          { path: orderFault.field, message: orderFault.message },
         ]),
       );
     if (event.type === 'exchange') attempts.set(event.exchange, 0);
-    const step = stepDecision(currentView, event);
-    currentView = step.view;
+    const step = stepDecision(latestView, event);
+    latestView = step.view;
     for (const decision of step.effects)
       if (decision.type === 'deliver') attempts.set(decision.exchange, decision.attempt);
     return Right(step.effects.map((decision) => ({ at: event.at, ...decision })));
@@ -91,6 +103,6 @@
       if (text.trim() === '') return Right([]);
       return parseEvent(text, lineNumber).chain(play);
     },
-    view: () => currentView,
+    view: () => latestView,
   };
 };
--- a/src/decision/work/urgency.ts
+++ b/src/decision/work/urgency.ts
@@ -1,13 +1,16 @@
 import type { DecisionView } from '../machine/view/decision-view.js';
 import type { ExchangeView } from '../machine/view/exchange-view.js';
-import { readUsOf } from './busy.js';
+import { prefillUsOf } from './prefill-estimate.js';
 
-const plain = 5;
+const defaultUrgency = 5;
 
-/** How urgent an exchange is at its server, from 0, the most, to 9: what is soon read goes before what takes long. */
+/**
+ * The urgency of an exchange in the queue of its server, from 0, the most urgent, to 9. Short prefills go before long ones.
+ * Undefined without an estimate of the work, or if the policy switches urgency off.
+ */
 export const urgencyOf = (view: DecisionView, exchange: ExchangeView, tokens: number): number | undefined => {
   if (exchange.work === undefined || !view.policy.urgency) return undefined;
-  const readUs = readUsOf(view, exchange.rule.service, tokens);
-  if (readUs < 60_000) return plain - 3;
-  return readUs < 300_000 ? plain - 1 : plain;
+  const prefillUs = prefillUsOf(view, exchange.rule.service, tokens);
+  if (prefillUs < 60_000) return defaultUrgency - 3;
+  return prefillUs < 300_000 ? defaultUrgency - 1 : defaultUrgency;
 };
--- a/src/decision/work/work.ts
+++ b/src/decision/work/work.ts
@@ -1,10 +1,11 @@
 import type { Prefix } from '../ring/prefix.js';
 
-/** What an exchange makes a server do, in tokens. */
+/** The work of an exchange at a server, in tokens. */
 export type Work = {
-  /** The shared parts of its opening, each with all before it, and the tokens up to there. */
+  /** The shared prefixes of its prompt from short to long, each with its length in tokens. */
   readonly levels: readonly { readonly prefix: Prefix; readonly tokens: number }[];
-  /** All tokens that a server that holds none of them has to read. */
+  /** Tokens to prefill at a server that has none of them cached. */
   readonly readTokens: number;
+  /** Tokens to decode. */
   readonly writeTokens: number;
 };
--- a/src/experiment/emulated-clients.ts
+++ b/src/experiment/emulated-clients.ts
@@ -1,6 +1,6 @@
 import type { Micros } from '../common/micros.js';
 import type { TypedError } from '../common/typed-error.js';
-import { openingNameOf } from '../decision/work/work-of.js';
+import { prefixTextOf } from '../decision/work/work-of.js';
 import { freeHold } from '../router/exchange/quota-hold.js';
 import type { CallerLink } from '../router/delivery/caller-link.js';
 import type { OpaqueExchange } from '../router/opaque/opaque-exchange.js';
@@ -154,7 +154,7 @@
         rule,
         body: {
           kind: rule.kind,
-          opening: exchange.opening.length === 0 ? exchange.name : openingNameOf(exchange.opening),
+          opening: exchange.opening.length === 0 ? exchange.name : prefixTextOf(exchange.opening),
           budgetUs: Math.max(1_000, dueUs - world.now()),
         },
         opaque: { ...exchange, budgetUs: Math.max(1_000, dueUs - world.now()) },
--- a/src/process/router/admission.ts
+++ b/src/process/router/admission.ts
@@ -7,7 +7,7 @@
 import { quotaCostOf } from '../../router/access/quota-cost.js';
 import { accessOf, type Access } from '../../router/access/access.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
-import { openingNameOf } from '../../decision/work/work-of.js';
+import { prefixTextOf } from '../../decision/work/work-of.js';
 import { ruleAt } from '../../setup/match/rule-index.js';
 import type { CallerLink } from '../../router/delivery/caller-link.js';
 import { claimKeyOf } from '../../router/exchange/claim-key.js';
@@ -214,7 +214,7 @@
       rule,
       body: {
         kind: rule.kind,
-        opening: exchange.opening.length === 0 ? exchange.name : openingNameOf(exchange.opening),
+        opening: exchange.opening.length === 0 ? exchange.name : prefixTextOf(exchange.opening),
         budgetUs: exchange.budgetUs,
       },
       opaque: exchange,
--- a/src/process/router/exchange-paths.ts
+++ b/src/process/router/exchange-paths.ts
@@ -48,7 +48,7 @@
   });
   app.get('/stage', (_message, response) => {
     const view = node.router.view();
-    const { stage } = view;
+    const { topology: stage } = view;
     reply(response, 200, {
       platformUs: view.platform === undefined ? undefined : platformUsOf(view),
       services: [...stage.services.values()].map((service) => ({
--- a/src/process/router/fleet-news.ts
+++ b/src/process/router/fleet-news.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
-import { isCrowdedBy, type ServerLoad } from '../../decision/health/server-load.js';
+import { isSaturated, type ServerLoad } from '../../decision/health/server-load.js';
 import type { FailureCause } from '../../decision/health/server-failures.js';
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Frame } from '../../spread/frame/frame.js';
@@ -61,7 +61,7 @@
       tell({ type: 'server-failure', server, cause });
     },
     load: (server, load) => {
-      if (!isCrowdedBy(load) || !isDue(toldLoads, server, loadSpanUs)) return;
+      if (!isSaturated(load) || !isDue(toldLoads, server, loadSpanUs)) return;
       counters.count('loads.told');
       tell({ type: 'server-load', server, ...load });
     },
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -6,8 +6,8 @@
 import type { Decision } from '../../decision/machine/effect/decision.js';
 import type { DecisionEvent } from '../../decision/machine/event/decision-event.js';
 import { stepDecision } from '../../decision/machine/step/step.js';
-import { platformUsOf, startDecisionView, type DecisionView } from '../../decision/machine/view/decision-view.js';
-import { usualPolicy, type DecisionPolicy } from '../../decision/policy.js';
+import { platformUsOf, initialDecisionView, type DecisionView } from '../../decision/machine/view/decision-view.js';
+import { defaultPolicy, type DecisionPolicy } from '../../decision/policy.js';
 import { prefixOf } from '../../decision/ring/prefix.js';
 import { accessOf, isSameCaller, tenantNameOf, type Access } from '../../router/access/access.js';
 import type { CallerLink } from '../../router/delivery/caller-link.js';
@@ -95,7 +95,7 @@
   log,
   counters,
   surroundings,
-  policy = usualPolicy,
+  policy = defaultPolicy,
   release,
 }: RouterTaskParts): RouterTask => {
   const { clock, dial, freshName, probesNothing = false } = surroundings;
@@ -109,7 +109,7 @@
   let madeDecisions: readonly Decision[] = [];
   let exchangeCount = 0;
   const journal = openJournal<DecisionView, DecisionEvent>(
-    { ...startDecisionView, policy },
+    { ...initialDecisionView, policy },
     (view, event) => {
       const step = stepDecision(view, event);
       madeDecisions = step.effects;
@@ -257,7 +257,7 @@
     journal.view().list?.servers.find((listed) => serverKeyOf(listed) === key);
 
   const isAllowed = (continuation: Continuation, key: string): boolean =>
-    journal.view().stage.services.get(continuation.rule.service)?.allowed.has(key) ?? false;
+    journal.view().topology.services.get(continuation.rule.service)?.allowed.has(key) ?? false;
 
   /** Whether the newest configuration still has the caller's key for the same tenant; keys may be revoked while it waits. */
   const isStillAllowed = ({ rule, apiKey, access }: Continuation): boolean => {
@@ -492,7 +492,7 @@
       const service =
         namedRule.split === undefined ? namedRule.service : shareOf(namedRule, opaque?.name ?? nextName());
       const rule = { ...namedRule, service, tier: tier ?? namedRule.tier };
-      const isModel = journal.view().stage.services.get(rule.service)?.type === 'model';
+      const isModel = journal.view().topology.services.get(rule.service)?.type === 'model';
       const continuation = slab.put((ticket) => {
         const exchange = claimed?.exchange ?? `${node}.${boot}.${ticketName(ticket)}`;
         const watch = watchCaller(caller, { exchange, repeatable: rule.repeatable }, promises);
--- a/tests/bench/figures.ts
+++ b/tests/bench/figures.ts
@@ -1,11 +1,11 @@
 import type { Micros } from '../../src/common/micros.js';
 import { stepDecision } from '../../src/decision/machine/step/step.js';
-import { startDecisionView, type DecisionView } from '../../src/decision/machine/view/decision-view.js';
+import { initialDecisionView, type DecisionView } from '../../src/decision/machine/view/decision-view.js';
 import type { DecisionEvent } from '../../src/decision/machine/event/decision-event.js';
 import { sharedRecord } from '../../src/setup/delta/shared-record.js';
 import type { Rule } from '../../src/setup/document/rule.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
-import { listOf, recordOf, second, serverOf, setup } from '../decision/figures.js';
+import { listOf, recordOf, second, serverOf, setup } from '../decision/fixtures.js';
 
 /** What one case of the benchmark is made of. */
 export type BenchCase = { readonly openings: number; readonly inFlight: number; readonly servers: number };
@@ -66,7 +66,7 @@
 
 /** Microseconds of processor that one exchange takes from its beginning to its end. */
 export const exchangeCost = (benchCase: BenchCase): number => {
-  const listedView = run(startDecisionView, [
+  const listedView = run(initialDecisionView, [
     { type: 'setup', at: 0, record: recordOf(benchSetup) },
     { type: 'list', at: second, list: listOf(1, 60 * second, benchServers(benchCase.servers, 1, 60 * second)) },
   ]);
@@ -80,7 +80,7 @@
 
 /** Microseconds of processor that one list with a new server takes. */
 export const listCost = (servers: number): number => {
-  const view = run(startDecisionView, [
+  const view = run(initialDecisionView, [
     { type: 'setup', at: 0, record: recordOf(benchSetup) },
     { type: 'list', at: second, list: listOf(1, 60 * second, benchServers(servers, 0, 0)) },
   ]);
@@ -116,7 +116,7 @@
     return { ...recordOf({ ...benchSetup, rules }), revision };
   };
   const firstRecord = recordAt(1);
-  const view = run(startDecisionView, [
+  const view = run(initialDecisionView, [
     { type: 'setup', at: 0, record: firstRecord },
     { type: 'list', at: second, list: listOf(1, 60 * second, benchServers(servers, 0, 0)) },
   ]);
--- a/tests/decision/example-trace.test.ts
+++ b/tests/decision/example-trace.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { openTraceReader } from '../../src/decision/trace/trace-reader.js';
 
-test('the example trace that is shipped plays without an error and shows a whole join', () => {
+test('the example trace replays without an error and contains a complete join', () => {
   const reader = openTraceReader();
   const decisions = readFileSync('examples/decide/join.ndjson', 'utf8')
     .split('\n')
@@ -12,7 +12,7 @@
     decision.type === 'deliver' ? decision.reason.type : decision.type,
   );
   for (const type of ['hold', 'unknown', 'booked', 'warm-up', 'entered'])
-    assert.ok(types.includes(type), `${type} is missing`);
+    assert.ok(types.includes(type), `the trace has no ${type}`);
   assert.ok(types.indexOf('booked') < types.indexOf('warm-up'));
   assert.ok(types.lastIndexOf('warm-up') < types.indexOf('entered'));
 });
--- a/tests/decision/figures.ts
+++ b/tests/decision/fixtures.ts
@@ -4,6 +4,7 @@
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
 import type { Warmup } from '../../src/setup/document/warmup.js';
 
+/** One second in microseconds. */
 export const second = 1_000_000;
 
 export const warmup: Warmup = {
@@ -75,14 +76,14 @@
   leaving: { graceUs: 2 * second },
 };
 
-export const recordOf = (given: Setup = setup, revision = 1, takenAtUs = 0): SetupRecord => ({
+export const recordOf = (configuration: Setup = setup, revision = 1, takenAtUs = 0): SetupRecord => ({
   revision,
   takenAtUs,
-  setup: given,
-  epochs: [{ sinceUs: takenAtUs, warmup: given.warmup }],
+  setup: configuration,
+  epochs: [{ sinceUs: takenAtUs, warmup: configuration.warmup }],
 });
 
-export const serverOf = (id: string, listedAtUs: number, more: Partial<ListedServer> = {}): ListedServer => ({
+export const serverOf = (id: string, listedAtUs: number, overrides: Partial<ListedServer> = {}): ListedServer => ({
   id,
   incarnation: 'i1',
   service: 'model',
@@ -90,10 +91,11 @@
   locality: 'a',
   listedAtUs,
   state: 'up',
-  ...more,
+  ...overrides,
 });
 
-export const foundersAt = (count: number, listedAtUs: number): readonly ListedServer[] =>
+/** Servers `sa`, `sb`, ... that are listed at the same time, so that they enter the ring without a warm-up. */
+export const initialServersAt = (count: number, listedAtUs: number): readonly ListedServer[] =>
   Array.from({ length: count }, (_, index) => serverOf(`s${String.fromCodePoint(97 + index)}`, listedAtUs));
 
 export const listOf = (version: number, atUs: number, servers: readonly ListedServer[]): ServerList => ({
--- a/tests/decision/localities.test.ts
+++ b/tests/decision/localities.test.ts
@@ -1,48 +1,51 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { acrossLocalities } from '../../src/decision/ring/across-localities.js';
+import { interleavedOwners } from '../../src/decision/ring/interleaved-owners.js';
 import { positionOf } from '../../src/decision/ring/position.js';
 import { ownersFrom, ringOf } from '../../src/decision/ring/ring.js';
-import { deliversOf, openPlayer } from './player.js';
-import { foundersAt, listOf, recordOf, second } from './figures.js';
+import { deliveriesIn, openPlayer } from './player.js';
+import { initialServersAt, listOf, recordOf, second } from './fixtures.js';
 
 const localityOf = (owner: string): string => ['a', 'b', 'c'][Number(owner.slice(1)) % 3] ?? 'a';
-const members = Array.from({ length: 13 }, (_, place) => ({ key: `s${place}`, id: `s${place}` }));
+const members = Array.from({ length: 13 }, (_, index) => ({ key: `s${index}`, id: `s${index}` }));
 
-test('the next owners of every opening stand in other localities, and its own first owner stays first', () => {
+test('the next owners of every prefix are in other localities, and the first owner stays first', () => {
   const ring = ringOf(members, 16);
-  for (let place = 0; place < 500; place += 1) {
-    const walked = ownersFrom(ring, positionOf(`opening ${place}`));
-    const owners = acrossLocalities(walked, localityOf);
+  for (let index = 0; index < 500; index += 1) {
+    const walked = ownersFrom(ring, positionOf(`opening ${index}`));
+    const owners = interleavedOwners(walked, localityOf);
     assert.is(owners[0], walked[0]);
-    assert.equal([...owners].sort(), [...walked].sort(), 'nobody is lost');
-    assert.is(new Set(owners.slice(0, 3).map(localityOf)).size, 3, `opening ${place}: ${owners.slice(0, 3).join(' ')}`);
+    assert.equal([...owners].sort(), [...walked].sort(), 'no owner is missing');
+    assert.is(new Set(owners.slice(0, 3).map(localityOf)).size, 3, `prefix ${index}: ${owners.slice(0, 3).join(' ')}`);
   }
 });
 
-test('where all stand in one locality the order is that of the ring', () => {
+test('with a single locality the order is that of the ring', () => {
   const walked = ownersFrom(ringOf(members, 16), positionOf('o'));
   assert.equal(
-    acrossLocalities(walked, () => 'a'),
+    interleavedOwners(walked, () => 'a'),
     walked,
   );
 });
 
-test('work that its owner can not take goes to another locality', () => {
-  const servers = foundersAt(9, 0).map((server, place) => ({ ...server, locality: ['a', 'b', 'c'][place % 3] ?? 'a' }));
+test('an exchange that fails at its owner goes to another locality', () => {
+  const servers = initialServersAt(9, 0).map((server, index) => ({
+    ...server,
+    locality: ['a', 'b', 'c'][index % 3] ?? 'a',
+  }));
   const localityAt = (key: string): string | undefined =>
     servers.find((server) => key.startsWith(`${server.id}/`))?.locality;
   const player = openPlayer();
   player.play({ type: 'setup', at: 0, record: recordOf() }, { type: 'list', at: 0, list: listOf(1, second, servers) });
-  for (let place = 0; place < 40; place += 1) {
-    const [first] = deliversOf(
-      player.play({ type: 'exchange', at: second, exchange: `x${place}`, kind: 'ask', prefix: `p${place}` }),
+  for (let index = 0; index < 40; index += 1) {
+    const [first] = deliveriesIn(
+      player.play({ type: 'exchange', at: second, exchange: `x${index}`, kind: 'ask', prefix: `p${index}` }),
     );
-    const [next] = deliversOf(
+    const [next] = deliveriesIn(
       player.play({
         type: 'failed',
         at: second,
-        exchange: `x${place}`,
+        exchange: `x${index}`,
         attempt: 1,
         sent: false,
         pieces: 0,
@@ -51,7 +54,7 @@
     );
     assert.ok(first && next);
     assert.is.not(localityAt(next?.server ?? ''), localityAt(first?.server ?? ''));
-    player.play({ type: 'abandoned', at: second, exchange: `x${place}` });
+    player.play({ type: 'abandoned', at: second, exchange: `x${index}` });
   }
 });
 
--- a/tests/decision/server-health.test.ts
+++ b/tests/decision/server-health.test.ts
@@ -1,14 +1,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { serverKeyOf } from '../../src/servers/list/server-key.js';
-import { loadLifeUs } from '../../src/decision/health/server-load.js';
-import { endWell, ranWell } from './exchanges.js';
-import { foundersAt, listOf, recordOf, second, serverOf } from './figures.js';
-import { deliversOf, openPlayer, type Deliver, type Player } from './player.js';
+import { loadReportTtlUs } from '../../src/decision/health/server-load.js';
+import { completeAttempt, runExchange } from './exchanges.js';
+import { initialServersAt, listOf, recordOf, second, serverOf } from './fixtures.js';
+import { deliveriesIn, openPlayer, type Delivery, type Player } from './player.js';
 
-const web = (id: string) => serverOf(id, 0, { service: 'status' });
+const webServer = (id: string) => serverOf(id, 0, { service: 'status' });
 
-const opened = (models = 6): Player => {
+const openNode = (models = 6): Player => {
   const player = openPlayer();
   player.play(
     { type: 'tick', at: 0 },
@@ -16,7 +16,13 @@
     {
       type: 'list',
       at: 0,
-      list: listOf(1, 90 * second, [...foundersAt(models, 0), web('wa'), web('wb'), web('wc'), web('wd')]),
+      list: listOf(1, 90 * second, [
+        ...initialServersAt(models, 0),
+        webServer('wa'),
+        webServer('wb'),
+        webServer('wc'),
+        webServer('wd'),
+      ]),
     },
   );
   return player;
@@ -24,48 +30,48 @@
 
 let count = 0;
 
-/** The delivery of one exchange of a prefix, which ends well at once. */
-const send = (player: Player, at: number, prefix = 'one', kind = 'ask'): Deliver => {
+/** The delivery of one exchange with a prefix, which completes at once. */
+const send = (player: Player, at: number, prefix = 'one', kind = 'ask'): Delivery => {
   count += 1;
-  const [deliver] = ranWell(player, { at, exchange: `e${count}`, kind, prefix });
-  if (deliver === undefined) throw new Error('nothing was delivered');
+  const [deliver] = runExchange(player, { at, exchange: `e${count}`, kind, prefix });
+  if (deliver === undefined) throw new Error('no delivery was decided');
   return deliver;
 };
 
 const fail = (player: Player, at: number, server: string, times: number): void => {
-  for (let time = 0; time < times; time += 1) player.play({ type: 'failure', at, server, cause: 'failed' });
+  for (let failure = 0; failure < times; failure += 1) player.play({ type: 'failure', at, server, cause: 'failed' });
 };
 
-test('a server that failed several times of late, wherever, is passed over for a while and then tried again', () => {
-  const player = opened();
+test('a server with several recent failures at any router is ejected for a while and then gets traffic again', () => {
+  const player = openNode();
   const owner = send(player, 1).server;
   fail(player, 2, owner, 2);
-  assert.is(send(player, 3).server, owner, 'two failures may be chance');
+  assert.is(send(player, 3).server, owner, 'two failures may be random and do not eject it');
   fail(player, 4, owner, 1);
-  const passed = send(player, 5);
-  assert.is.not(passed.server, owner);
-  assert.is(passed.reason.type, 'failing-owner');
-  assert.is(send(player, second).server, owner, 'after a while it is tried as before');
+  const rerouted = send(player, 5);
+  assert.is.not(rerouted.server, owner);
+  assert.is(rerouted.reason.type, 'failing-owner');
+  assert.is(send(player, second).server, owner, 'the ejection ends');
   player.play({ type: 'failure', at: 12 * second, server: owner, cause: 'unreachable' });
-  assert.is(send(player, 12 * second + 1).server, owner, 'old failures count no more');
+  assert.is(send(player, 12 * second + 1).server, owner, 'old failures no longer count');
   player.play({ type: 'failure', at: 12 * second + 2, server: owner, cause: 'unreachable' });
-  assert.is.not(send(player, 12 * second + 3).server, owner, 'two that did not reach it are enough');
+  assert.is.not(send(player, 12 * second + 3).server, owner, 'two failed connections are enough');
 });
 
-test('where more than a third of the servers fail, none is passed over', () => {
-  const player = opened();
+test('if more than a third of the servers fail, none is ejected', () => {
+  const player = openNode();
   const owner = send(player, 1).server;
   fail(player, 2, owner, 3);
-  const second1 = send(player, 3).server;
-  fail(player, 4, second1, 3);
-  const third = send(player, 5).server;
-  assert.ok(![owner, second1].includes(third));
-  fail(player, 6, third, 3);
+  const secondOwner = send(player, 3).server;
+  fail(player, 4, secondOwner, 3);
+  const thirdOwner = send(player, 5).server;
+  assert.ok(![owner, secondOwner].includes(thirdOwner));
+  fail(player, 6, thirdOwner, 3);
   assert.is(send(player, 7).server, owner);
 });
 
-test('a crowded owner is passed over until it tells of room, or what it told is old', () => {
-  const player = opened();
+test('a saturated owner is skipped until it reports room or its report expires', () => {
+  const player = openNode();
   const owner = send(player, 1).server;
   const load = (at: number, running: number, waiting: number) =>
     player.play({ type: 'load', at, server: owner, running, waiting, slots: 64 });
@@ -79,51 +85,51 @@
   assert.is(send(player, 7).server, owner);
   load(8, 64, 30);
   assert.is.not(send(player, 9).server, owner);
-  assert.is(send(player, 8 + loadLifeUs).server, owner);
+  assert.is(send(player, 8 + loadReportTtlUs).server, owner);
 });
 
-test('where every server is crowded the owner keeps what is its own', () => {
-  const player = opened();
+test('if every server is saturated, the owner keeps its prefix', () => {
+  const player = openNode();
   const owner = send(player, 1).server;
-  for (const server of foundersAt(6, 0).map(serverKeyOf))
+  for (const server of initialServersAt(6, 0).map(serverKeyOf))
     player.play({ type: 'load', at: 2, server, running: 64, waiting: 9, slots: 64 });
   const servers = [...player.view().loads.keys()];
   assert.ok(servers.includes(owner), `${servers.join()} ${owner}`);
   assert.is(send(player, 3).server, owner);
 });
 
-test('a web service spreads over its servers, and passes over those that fail or are crowded', () => {
-  const player = opened();
+test('a web service spreads over its servers and skips those that are ejected or saturated', () => {
+  const player = openNode();
   const counts = new Map<string, number>();
-  for (let place = 0; place < 200; place += 1) {
-    const { server } = send(player, 10 + place, `x${place}`, 'check');
+  for (let index = 0; index < 200; index += 1) {
+    const { server } = send(player, 10 + index, `x${index}`, 'check');
     counts.set(server, (counts.get(server) ?? 0) + 1);
   }
   assert.is(counts.size, 4);
   const [busy = '', failing = ''] = [...counts.keys()];
   player.play({ type: 'load', at: 300, server: busy, running: 6, waiting: 2, slots: 6 });
   fail(player, 300, failing, 3);
-  for (let place = 0; place < 50; place += 1) {
-    const { server } = send(player, 301 + place, `y${place}`, 'check');
+  for (let index = 0; index < 50; index += 1) {
+    const { server } = send(player, 301 + index, `y${index}`, 'check');
     assert.ok(server !== busy && server !== failing);
   }
 });
 
-test('of web servers that are all in use the one with most room is taken', () => {
-  const player = opened();
-  const held: Deliver[] = [];
-  for (let place = 0; place < 4; place += 1) {
-    const [deliver] = deliversOf(
-      player.play({ type: 'exchange', at: 10, exchange: `h${place}`, kind: 'check', prefix: `h${place}` }),
+test('if all web servers are in use, the least loaded one is chosen', () => {
+  const player = openNode();
+  const running: Delivery[] = [];
+  for (let index = 0; index < 4; index += 1) {
+    const [deliver] = deliveriesIn(
+      player.play({ type: 'exchange', at: 10, exchange: `h${index}`, kind: 'check', prefix: `h${index}` }),
     );
-    if (deliver !== undefined) held.push(deliver);
+    if (deliver !== undefined) running.push(deliver);
   }
-  assert.is(new Set(held.map(({ server }) => server)).size, 4);
-  for (const { server } of held.slice(1))
+  assert.is(new Set(running.map(({ server }) => server)).size, 4);
+  for (const { server } of running.slice(1))
     player.play({ type: 'load', at: 11, server, running: 4, waiting: 0, slots: 6 });
-  const [next] = deliversOf(player.play({ type: 'exchange', at: 12, exchange: 'h5', kind: 'check', prefix: 'h5' }));
-  assert.is(next?.server, held[0]?.server);
-  for (const deliver of held) endWell(player, 13, deliver);
+  const [next] = deliveriesIn(player.play({ type: 'exchange', at: 12, exchange: 'h5', kind: 'check', prefix: 'h5' }));
+  assert.is(next?.server, running[0]?.server);
+  for (const deliver of running) completeAttempt(player, 13, deliver);
 });
 
 test.run();
--- a/tests/decision/trace-errors.test.ts
+++ b/tests/decision/trace-errors.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { openTraceReader } from '../../src/decision/trace/trace-reader.js';
-import { foundersAt, listOf, recordOf } from './figures.js';
+import { initialServersAt, listOf, recordOf } from './fixtures.js';
 
 const errorAfter = (
   ...lines: readonly string[]
@@ -18,10 +18,10 @@
 const tick = (at: number): string => JSON.stringify({ type: 'tick', at });
 const setupLine = JSON.stringify({ type: 'setup', at: 1, record: recordOf() });
 const listLine = (version: number): string =>
-  JSON.stringify({ type: 'list', at: 1, list: listOf(version, 1, foundersAt(2, 0)) });
+  JSON.stringify({ type: 'list', at: 1, list: listOf(version, 1, initialServersAt(2, 0)) });
 const exchangeLine = JSON.stringify({ type: 'exchange', at: 1, exchange: 'e', kind: 'ask', prefix: 'p' });
 
-test('every malformed or misplaced line is an error that names line and field', () => {
+test('every malformed or misplaced line is an error that names the line and the field', () => {
   const cases: readonly (readonly [readonly string[], string, string, number])[] = [
     [['{'], 'bad-event', '', 1],
     [['[]'], 'bad-event', '', 1],
@@ -50,7 +50,7 @@
   }
 });
 
-test('a faultless trace gives no error, and empty lines are passed over', () => {
+test('a valid trace gives no error, and empty lines are skipped', () => {
   assert.is(errorAfter(setupLine, '', listLine(1), exchangeLine, tick(9)), undefined);
 });
 
--- a/tests/experiment/experiment.test.ts
+++ b/tests/experiment/experiment.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checked } from '../../src/common/checked.js';
-import { policyWithout, usualPolicy } from '../../src/decision/policy.js';
+import { policyWithout, defaultPolicy } from '../../src/decision/policy.js';
 import { experimentSchema, type Experiment } from '../../src/experiment/deployment.js';
 import { playExperiment } from '../../src/experiment/play-experiment.js';
 import { playSeeds, spreadOf } from '../../src/experiment/play-seeds.js';
@@ -27,13 +27,13 @@
 });
 
 test('a seed plays the same every time, another one differently', async () => {
-  const first = await playExperiment(short(), 1, usualPolicy);
-  assert.equal(await playExperiment(short(), 1, usualPolicy), first);
-  assert.not.equal(await playExperiment(short(), 2, usualPolicy), first);
+  const first = await playExperiment(short(), 1, defaultPolicy);
+  assert.equal(await playExperiment(short(), 1, defaultPolicy), first);
+  assert.not.equal(await playExperiment(short(), 2, defaultPolicy), first);
 });
 
 test('a calm deployment earns nearly all of its worth, and every request has an end', async () => {
-  const { worth, requests, failed } = await playExperiment(short(), 3, usualPolicy);
+  const { worth, requests, failed } = await playExperiment(short(), 3, defaultPolicy);
   assert.ok(worth > 0.95, `${worth}`);
   assert.ok(requests > 250 && failed < requests / 50, `${failed} of ${requests}`);
 });
@@ -43,9 +43,9 @@
     seconds: 6,
     faults: [{ kind: 'reset', service: 'readers', atS: 1, forS: 5, share: 0.2, strength: 1 }],
   });
-  const failedOf = async (policy: typeof usualPolicy): Promise<number> =>
+  const failedOf = async (policy: typeof defaultPolicy): Promise<number> =>
     spreadOf((await playSeeds(broken, [1, 2, 3], policy)).map(({ failed }) => failed)).mean;
-  const told = await failedOf(usualPolicy);
+  const told = await failedOf(defaultPolicy);
   const untold = await failedOf(policyWithout('failures'));
   assert.ok(told * 1.5 < untold, `${told} and ${untold}`);
 });
--- a/tests/servers/merge-lists.test.ts
+++ b/tests/servers/merge-lists.test.ts
@@ -7,7 +7,7 @@
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
 import { askedListOf, mergeLists, tombstoneUs, withoutOldTombstones } from '../../src/servers/list/merge-lists.js';
 import { rankOfState } from '../../src/servers/list/server-state.js';
-import { serverOf } from '../decision/figures.js';
+import { serverOf } from '../decision/fixtures.js';
 import { randomLists } from './random-lists.js';
 
 const startUs = 1_000_000_000_000;
--- a/tests/servers/passive-watch.test.ts
+++ b/tests/servers/passive-watch.test.ts
@@ -7,7 +7,7 @@
 import type { ServerLink } from '../../src/servers/link/server-link.js';
 import { serverKeyOf } from '../../src/servers/list/server-key.js';
 import { leastRedialUs, mostRedialUs, openPassiveWatch } from '../../src/servers/watch/passive-watch.js';
-import { serverOf } from '../decision/figures.js';
+import { serverOf } from '../decision/fixtures.js';
 
 const server = serverOf('m1', 0);
 const key = serverKeyOf(server);
--- a/tests/servers/spread-asked.test.ts
+++ b/tests/servers/spread-asked.test.ts
@@ -7,7 +7,7 @@
 import { initialGossipView, type GossipView } from '../../src/spread/machine/gossip-view.js';
 import { stepGossip } from '../../src/spread/machine/step.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
-import { listOf, serverOf } from '../decision/figures.js';
+import { listOf, serverOf } from '../decision/fixtures.js';
 import { randomLists } from './random-lists.js';
 
 const startUs = 1_000_000_000_000;
--- a/tests/setup/rule-index.test.ts
+++ b/tests/setup/rule-index.test.ts
@@ -5,7 +5,7 @@
 import type { Setup } from '../../src/setup/document/setup.js';
 import { ruleAt } from '../../src/setup/match/rule-index.js';
 import { shareOf } from '../../src/setup/match/share-of.js';
-import { setup } from '../decision/figures.js';
+import { setup } from '../decision/fixtures.js';
 
 const [baseRule] = setup.rules;
 if (baseRule === undefined) throw new Error('no rule');
--- a/tests/setup/tenants.test.ts
+++ b/tests/setup/tenants.test.ts
@@ -11,7 +11,7 @@
 import type { Tenant } from '../../src/setup/document/tenant.js';
 import { tenantOfKey } from '../../src/setup/match/tenant-of-key.js';
 import { convertObjects } from '../../src/setup/objects/convert-objects.js';
-import { setup, warmup } from '../decision/figures.js';
+import { setup, warmup } from '../decision/fixtures.js';
 import { pageDocument, retryLimits } from '../platform/documents.js';
 
 const secret = 'a-key-that-nobody-may-read';
--- a/tests/sim/clocks.test.ts
+++ b/tests/sim/clocks.test.ts
@@ -12,7 +12,7 @@
   });
 
 const ringOf = (fleet: SmallFleet, place: number): number =>
-  fleet.routers[place]?.tasks()?.router.view().stage.services.get('model')?.ring.size ?? 0;
+  fleet.routers[place]?.tasks()?.router.view().topology.services.get('model')?.ring.size ?? 0;
 
 /** Plays a join while clocks go wrong; no node may think that the platform is further than it is, none may be late by much. */
 const joinWhile = async (seed: number, spoil: (fleet: SmallFleet) => void): Promise<void> => {
@@ -54,7 +54,7 @@
   const key = `${leaver?.listed.id}/`;
   for (const router of fleet.routers)
     assert.not.ok(
-      [...(router.tasks()?.router.view().stage.services.get('model')?.allowed ?? [])].some((allowed) =>
+      [...(router.tasks()?.router.view().topology.services.get('model')?.allowed ?? [])].some((allowed) =>
         allowed.startsWith(key),
       ),
     );
--- a/tests/spread/configuration-delta.test.ts
+++ b/tests/spread/configuration-delta.test.ts
@@ -10,7 +10,7 @@
 import type { GossipFrame } from '../../src/spread/machine/gossip-event.js';
 import { initialGossipView, type GossipView } from '../../src/spread/machine/gossip-view.js';
 import { stepGossip } from '../../src/spread/machine/step.js';
-import { setup, warmup } from '../decision/figures.js';
+import { setup, warmup } from '../decision/fixtures.js';
 
 const routeCount = 400;
 const changeCount = 40;
--- a/tests/spread/spread.test.ts
+++ b/tests/spread/spread.test.ts
@@ -9,7 +9,7 @@
 import { openNetwork, type Network } from '../../src/sim/world/network.js';
 import { openWorld, type World } from '../../src/sim/world/world.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
-import { foundersAt, listOf } from '../decision/figures.js';
+import { initialServersAt, listOf } from '../decision/fixtures.js';
 
 const second = 1_000_000;
 
@@ -73,7 +73,7 @@
     const { world, spreads, counts } = openGroup(seed);
     await world.playUntil(3 * second);
     spreads[5]?.offerSetup(recordAt(1));
-    spreads[7]?.offerList(listOf(1, 50, foundersAt(3, 0)));
+    spreads[7]?.offerList(listOf(1, 50, initialServersAt(3, 0)));
     await world.playUntil(world.now() + 250_000);
     assert.equal(
       new Set(spreads.map((spread) => [spread.view().record?.revision, spread.view().list?.version].join())),
