--- a/src/experiment/emulated-server.ts
+++ b/src/experiment/emulated-server.ts
@@ -7,8 +7,8 @@
 import { startEngineView } from '../emulator/engine/engine-view.js';
 import { engineDueUs, stepEngine } from '../emulator/engine/step-engine.js';
 import { startWebView, stepWeb, webDueUs, type WebEffect } from '../emulator/web/web-server.js';
-import type { CarryListener } from '../servers/link/carry-listener.js';
-import type { OpaqueOrder } from '../servers/link/opaque-order.js';
+import type { OpaqueResponseListener } from '../servers/link/opaque-response-listener.js';
+import type { OpaqueRequest } from '../servers/link/opaque-request.js';
 import type { ServerLink } from '../servers/link/server-link.js';
 import type { ListedServer } from '../servers/list/listed-server.js';
 import { serverKeyOf } from '../servers/list/server-key.js';
@@ -40,11 +40,11 @@
   readonly engine: EngineFigures | undefined;
   readonly web: { readonly slots: number; readonly queue: number };
   /** How long a web request is worked on, by its name. */
-  readonly workUsOf: (order: OpaqueOrder) => Micros;
+  readonly workUsOf: (order: OpaqueRequest) => Micros;
 };
 
 type Machine = {
-  readonly order: (name: string, order: OpaqueOrder, dueUs: Micros) => void;
+  readonly order: (name: string, order: OpaqueRequest, dueUs: Micros) => void;
   readonly cancel: (name: string) => void;
   readonly load: () => ServerLoad;
   readonly readTokens: () => number;
@@ -153,7 +153,7 @@
   };
 };
 
-type Running = { readonly listener: CarryListener; readonly delayUs: Micros; isMute: boolean; hasHead: boolean };
+type Running = { readonly listener: OpaqueResponseListener; readonly delayUs: Micros; isMute: boolean; hasHead: boolean };
 
 /** Opens a server; what it says reaches the other side after the delay of the connection. */
 export const openEmulatedServer = (plan: EmulatedServerPlan): EmulatedServer => {
@@ -164,7 +164,7 @@
   let arrivals = 0;
   let names = 0;
 
-  const say = (name: string, act: (listener: CarryListener) => void): void => {
+  const say = (name: string, act: (listener: OpaqueResponseListener) => void): void => {
     const made = running.get(name);
     if (made === undefined || made.isMute || fault?.type === 'dark') return;
     world.after(made.delayUs, () => act(made.listener));
@@ -210,7 +210,7 @@
 
   const machine = engine === undefined ? webMachine(world, plan, tell) : engineMachine(world, engine, tell);
 
-  const arrive = (name: string, order: OpaqueOrder, listener: CarryListener, delayUs: Micros): void => {
+  const arrive = (name: string, order: OpaqueRequest, listener: OpaqueResponseListener, delayUs: Micros): void => {
     if (fault?.type === 'dark') return;
     arrivals += 1;
     const fails = (fault?.type === 'reset' || fault?.type === 'mute') && world.chance() < fault.part;
@@ -233,9 +233,9 @@
       key: serverKeyOf(listed),
       isOpen: () => isOpen,
       close,
-      confirm: () => Promise.resolve(isOpen),
+      probe: () => Promise.resolve(isOpen),
       deliver: () => Promise.reject(new Error('an emulated server carries opaque exchanges only')),
-      carry: (order, listener) => {
+      forward: (order, listener) => {
         names += 1;
         const name = `${listed.id}-${names}`;
         world.after(delayUs, () => arrive(name, order, listener, delayUs));
--- a/src/process/control/quota-store-task.ts
+++ b/src/process/control/quota-store-task.ts
@@ -2,12 +2,12 @@
 import type { Micros } from '../../common/micros.js';
 import { isVoter } from '../../control/machine/log-reading.js';
 import type { Replica } from '../../control/machine/replica.js';
-import type { QuotaReply, QuotaRequest } from '../../quota/quota-grant.js';
-import { usualTolerance, type QuotaTolerance } from '../../quota/quota-tolerance.js';
-import { startQuotaStore } from '../../quota/store/quota-store-state.js';
+import type { QuotaReply, QuotaRequest } from '../../quota/quota-messages.js';
+import { defaultTolerance, type QuotaTolerance } from '../../quota/quota-tolerance.js';
+import { initialQuotaStore } from '../../quota/store/quota-store-state.js';
 import type { QuotaStoreEvent } from '../../quota/store/quota-store-event.js';
 import { stepQuotaStore } from '../../quota/store/step-quota-store.js';
-import { refilled } from '../../quota/token-bucket.js';
+import { refillBucket } from '../../quota/token-bucket.js';
 import type { Counters } from '../counters.js';
 import type { SpreadTask } from '../spread-task.js';
 
@@ -50,9 +50,9 @@
   clock,
   counters,
   replica,
-  tolerance = usualTolerance,
+  tolerance = defaultTolerance,
 }: QuotaStoreTaskParts): QuotaStoreTask => {
-  let state = startQuotaStore(clock.now());
+  let state = initialQuotaStore(clock.now());
 
   const take = (event: QuotaStoreEvent): QuotaReply | undefined => {
     const step = stepQuotaStore(state, event);
@@ -80,7 +80,7 @@
     levels: () =>
       [...state.buckets].map(([tenant, { bucket, limits }]) => ({
         tenant,
-        level: Math.floor(refilled(bucket, limits, clock.now()).level),
+        level: Math.floor(refillBucket(bucket, limits, clock.now()).level),
         capacity: Math.floor(limits.capacity),
         ratePerSecond: limits.ratePerSecond,
       })),
--- a/src/process/router/quota-task.ts
+++ b/src/process/router/quota-task.ts
@@ -2,7 +2,7 @@
 import type { Micros } from '../../common/micros.js';
 import type { QuotaReserveEffect, TokenSource } from '../../quota/reserve/quota-reserve-effect.js';
 import type { QuotaReserveEvent } from '../../quota/reserve/quota-reserve-event.js';
-import { startQuotaReserve } from '../../quota/reserve/quota-reserve-state.js';
+import { initialQuotaReserve } from '../../quota/reserve/quota-reserve-state.js';
 import { stepQuotaReserve } from '../../quota/reserve/step-quota-reserve.js';
 import type { Counters } from '../counters.js';
 import type { SpreadTask } from '../spread-task.js';
@@ -42,7 +42,7 @@
 
 /** Opens a router's reserves; nothing is asked before a request needs it. */
 export const openQuotaTask = ({ node, spread, clock, counters }: QuotaTaskParts): QuotaTask => {
-  let state = startQuotaReserve(node);
+  let state = initialQuotaReserve(node);
   let storesDueUs = Number.NEGATIVE_INFINITY;
   let takeBackTick = (): void => undefined;
   let plannedUs = Number.POSITIVE_INFINITY;
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -289,9 +289,9 @@
       unsent('no-link');
       return;
     }
-    const opened = await pool.take(server);
+    const opened = await pool.acquire(server);
     if (signal.aborted) {
-      opened.ifRight((link) => pool.giveBack(link));
+      opened.ifRight((link) => pool.release(link));
       return;
     }
     if (opened.isLeft()) {
@@ -305,12 +305,12 @@
     }
     const link = opened.unsafeCoerce();
     if (gate.isShut() || !link.isOpen() || !isAllowed(continuation, decision.server)) {
-      pool.giveBack(link);
+      pool.release(link);
       unsent('no-link');
       return;
     }
     if (!isStillAllowed(continuation)) {
-      pool.giveBack(link);
+      pool.release(link);
       counters.count('keys.revokedInFlight');
       unsent('key-revoked');
       return;
@@ -326,7 +326,7 @@
     take({ type: 'sent', at: clock.now(), exchange, attempt });
     if (continuation.stream.pieces > 0) continuation.stream.dueUs = clock.now() + continuation.rule.firstPieceUs;
     const { opaque } = continuation;
-    if (opaque !== undefined && link.carry !== undefined) {
+    if (opaque !== undefined && link.forward !== undefined) {
       const order = {
         exchange: opaque,
         budgetUs: Math.max(1_000, continuation.dueUs - clock.now()),
@@ -335,7 +335,7 @@
         tenant: tenantNameOf(continuation.access),
         withholdsKey: continuation.access.type !== 'open',
       };
-      const carried = await carry(continuation, link, link.carry, order, signal, {
+      const carried = await carry(continuation, link, link.forward, order, signal, {
         piece: () => countPiece(continuation, attempt),
         load: (load) => signals.load(decision.server, load),
       });
@@ -344,7 +344,7 @@
         continuation.stream.dueUs = Number.POSITIVE_INFINITY;
         endTry(continuation, attempt, decision.server, carried);
       }
-      pool.giveBack(link);
+      pool.release(link);
       return;
     }
     const ending = await deliver(continuation, link, decision.fromPiece, signal, {
@@ -356,7 +356,7 @@
       endTry(continuation, attempt, decision.server, ending);
     }
     if (ending.type === 'done' && (await within(clock, ending.rest, restBudgetUs)) !== true) link.close();
-    pool.giveBack(link);
+    pool.release(link);
   };
 
   const endTry = (continuation: Continuation, attempt: number, server: ServerKey, ending: DeliveryEnd): void => {
@@ -468,7 +468,7 @@
   spread.events.on('list', (list) => {
     take({ type: 'list', at: clock.now(), list });
     signals.watch(list.servers);
-    pool.keepOnly(new Set(list.servers.map(serverKeyOf)));
+    pool.retainOnly(new Set(list.servers.map(serverKeyOf)));
   });
   counters.gauge('exchanges.inFlight', () => slab.size());
   counters.gauge('links.open', () => pool.size());
--- a/src/process/router/server-signals.ts
+++ b/src/process/router/server-signals.ts
@@ -8,7 +8,7 @@
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import type { ServerKey } from '../../servers/list/server-key.js';
 import { openProber } from '../../servers/probe/prober.js';
-import { openPassiveWatch } from '../../servers/watch/passive-watch.js';
+import { openPassiveHealthCheck } from '../../servers/watch/passive-health-check.js';
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
 import type { SpreadTask } from '../spread-task.js';
@@ -51,7 +51,7 @@
     if (!isLight && !probesNothing) pool.cut(server);
     take({ type: isLight ? 'light' : 'dark', at: clock.now(), server });
   };
-  const passive = probesNothing ? openPassiveWatch(dial, clock, tellLight, (link) => pool.keep(link)) : undefined;
+  const passive = probesNothing ? openPassiveHealthCheck(dial, clock, tellLight, (link) => pool.keep(link)) : undefined;
   const prober = passive ?? openProber(dial, clock, tellLight);
 
   const noteFailure = (server: ServerKey, cause: FailureCause): void => {
@@ -69,9 +69,9 @@
   );
 
   return {
-    watch: prober.watch,
+    watch: prober.setServers,
     unreachable: (server) => {
-      passive?.missed(server);
+      passive?.reportDialFailure(server);
       noteFailure(server, 'unreachable');
     },
     suspect: (server) => passive?.suspect(server),
--- a/src/process/source-task.ts
+++ b/src/process/source-task.ts
@@ -4,8 +4,8 @@
 import type { Micros } from '../common/micros.js';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
 import type { ListReading } from '../servers/source/list-reading.js';
-import type { SourceEvent } from '../servers/source/source-event.js';
-import { startSourceView, stepSource } from '../servers/source/source-machine.js';
+import type { PollerEvent } from '../servers/source/poller-event.js';
+import { initialPollerView, stepPoller } from '../servers/source/poller-machine.js';
 import type { PeerRole } from '../spread/peer/peer-role.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
@@ -31,14 +31,14 @@
   { clock, listSource }: Pick<Surroundings, 'clock' | 'listSource'>,
 ): SourceTask => {
   if (listSource === undefined) return { start: () => undefined, close: () => undefined };
-  let view = startSourceView(role, node, clock.now());
+  let view = initialPollerView(role, node, clock.now());
   let isClosed = false;
   let endTicks = (): void => undefined;
 
-  const take = (event: SourceEvent): void => {
-    const step = stepSource(view, event);
-    if (step.view.isAsker !== view.isAsker)
-      log.change(step.view.isAsker ? 'asks for the list' : 'asks for the list no more', {});
+  const take = (event: PollerEvent): void => {
+    const step = stepPoller(view, event);
+    if (step.view.isPoller !== view.isPoller)
+      log.change(step.view.isPoller ? 'asks for the list' : 'asks for the list no more', {});
     view = step.view;
     if (step.effects.length > 0) void ask();
   };
@@ -73,7 +73,7 @@
 
   return {
     start: () => {
-      view = startSourceView(role, node, clock.now());
+      view = initialPollerView(role, node, clock.now());
       endTicks = every(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
     },
     close: () => {
--- a/src/quota/bucket-share.ts
+++ b/src/quota/bucket-share.ts
@@ -3,32 +3,32 @@
 import type { QuotaTolerance } from './quota-tolerance.js';
 import type { BucketLimits } from './token-bucket.js';
 
-/** Tokens that a router was granted and has not spent expire so long after it asked for them. */
-export const grantLifeUs: Micros = 500_000;
-/** A request that has its tokens may reach its server so much later: single-flight, dialing and retries lie between. */
-const longestHoldUs: Micros = 500_000;
-/** What routers may spend on credit while no store answers, as time at the full rate. */
-const creditUs: Micros = 500_000;
-/** The least that a whole bucket holds, as a part of the burst. */
-const leastBurstPart = 0.5;
+/** Time from sending a quota request until the tokens that it was granted expire unspent. */
+export const grantTtlUs: Micros = 500_000;
+/** Longest time from spending tokens until the request reaches a server: single-flight, dialing and retries. */
+const maxDispatchDelayUs: Micros = 500_000;
+/** Upper bound on what all routers spend on credit while no store answers, as time at the full rate. */
+const creditAllowanceUs: Micros = 500_000;
+/** Lower bound on the capacity of a tenant's bucket, as a fraction of the burst. */
+const minCapacityFraction = 0.5;
 const secondUs = 1_000_000;
 
 /**
- * The bucket of a whole quota. Within any window the store grants at most what comes in and the capacity; what is spent
- * later than it was granted, and on credit, is taken off the capacity, so that use stays inside the tolerance as long as
- * the tolerance is that large.
+ * Limits of a tenant's token bucket over all stores together. Within any window the stores grant at most the refill plus
+ * the capacity. Tokens that are used later than they were granted, and credit, can add to the use of a window, so they are
+ * subtracted from the capacity. Use then stays within the tolerance, provided that the tolerance is at least that large.
  */
-export const wholeBucketOf = (quota: Quota, { windowUs, excess, margin }: QuotaTolerance): BucketLimits => {
+export const fleetBucketLimitsOf = (quota: Quota, { windowUs, excess, margin }: QuotaTolerance): BucketLimits => {
   const { ratePerSecond, burst } = quota;
   const allowed = (ratePerSecond * windowUs) / secondUs + burst;
   const tolerated = allowed * excess + margin;
-  const spentLater = (ratePerSecond * (grantLifeUs + longestHoldUs + creditUs)) / secondUs;
-  const capacity = Math.max(burst + tolerated - spentLater, burst * leastBurstPart, 1);
+  const lateUse = (ratePerSecond * (grantTtlUs + maxDispatchDelayUs + creditAllowanceUs)) / secondUs;
+  const capacity = Math.max(burst + tolerated - lateUse, burst * minCapacityFraction, 1);
   return { ratePerSecond, capacity };
 };
 
-/** The part of it that one of so many stores grants from. */
-export const bucketShareOf = (quota: Quota, tolerance: QuotaTolerance, shares: number): BucketLimits => {
-  const whole = wholeBucketOf(quota, tolerance);
+/** Limits of the equal share of a tenant's bucket that one of `shares` stores grants from. */
+export const storeBucketLimitsOf = (quota: Quota, tolerance: QuotaTolerance, shares: number): BucketLimits => {
+  const whole = fleetBucketLimitsOf(quota, tolerance);
   return { ratePerSecond: whole.ratePerSecond / shares, capacity: whole.capacity / shares };
 };
--- a/src/quota/quota-tolerance.ts
+++ b/src/quota/quota-tolerance.ts
@@ -1,14 +1,13 @@
 import type { Micros } from '../common/micros.js';
 
-/** How exactly a quota has to be kept over the whole fleet. */
+/** How far the use of the whole fleet may exceed a quota within one window. */
 export type QuotaTolerance = {
-  /** The span over which use is counted. */
+  /** Length of the sliding window over which use is counted. */
   readonly windowUs: Micros;
-  /** The part of what a window allows by which use may exceed it. */
+  /** Permitted excess as a fraction of what the window allows. */
   readonly excess: number;
-  /** Units by which use may exceed it besides. */
+  /** Permitted excess in addition to that, in units of the quota. */
   readonly margin: number;
 };
 
-/** A window of a second, and a tenth above the limit in it. */
-export const usualTolerance: QuotaTolerance = { windowUs: 1_000_000, excess: 0.1, margin: 0 };
+export const defaultTolerance: QuotaTolerance = { windowUs: 1_000_000, excess: 0.1, margin: 0 };
--- a/src/quota/reserve/choose-store.ts
+++ b/src/quota/reserve/choose-store.ts
@@ -2,15 +2,15 @@
 import { positionOf } from '../../decision/ring/position.js';
 import type { QuotaReserveState, TenantReserve } from './quota-reserve-state.js';
 
-const isDry = (reserve: TenantReserve, store: string, needed: number, nowUs: Micros): boolean => {
-  const dry = reserve.dry.get(store);
-  return dry !== undefined && nowUs < dry.untilUs && needed >= dry.needed;
+const isKnownExhausted = (reserve: TenantReserve, store: string, needed: number, nowUs: Micros): boolean => {
+  const refusal = reserve.exhaustedStores.get(store);
+  return refusal !== undefined && nowUs < refusal.untilUs && needed >= refusal.needed;
 };
 
-const leftAt = (reserve: TenantReserve, store: string): number => reserve.dry.get(store)?.left ?? 0;
+const remainingAt = (reserve: TenantReserve, store: string): number => reserve.exhaustedStores.get(store)?.left ?? 0;
 
-/** The stores, each router and tenant beginning at another one, so that all shares are used alike. */
-const storesInTurn = ({ node, stores }: QuotaReserveState, tenant: string, preferred: string | undefined) => {
+/** The stores in round-robin order from the preferred one, or from one hashed from router and tenant to spread the load. */
+const storesInOrder = ({ node, stores }: QuotaReserveState, tenant: string, preferred: string | undefined) => {
   const first =
     preferred !== undefined && stores.includes(preferred)
       ? stores.indexOf(preferred)
@@ -19,8 +19,9 @@
 };
 
 /**
- * The store to ask next: the one that granted last, then the others in turn, but none that is known to have too little or
- * was asked in this round. One that did not answer of late is asked only where there is no other.
+ * The store to send the next quota request to: the one that granted last, then the others in turn. Skips stores that were
+ * tried in this round or are known to be exhausted; a collecting round takes exhausted stores too, the fullest first. A
+ * suspect store is chosen only if all stores are suspect. Undefined if no store remains.
  */
 export const chooseStore = (
   state: QuotaReserveState,
@@ -30,21 +31,25 @@
   nowUs: Micros,
 ): string | undefined => {
   const isSuspect = (store: string): boolean => nowUs < (state.suspects.get(store) ?? 0);
-  const unasked = storesInTurn(state, tenant, reserve.preferred).filter((store) => !reserve.asked.includes(store));
-  const open = reserve.isCollecting
-    ? [...unasked].sort((left, right) => leftAt(reserve, right) - leftAt(reserve, left))
-    : unasked.filter((store) => !isDry(reserve, store, needed, nowUs));
-  const sound = open.find((store) => !isSuspect(store));
-  if (sound !== undefined) return sound;
-  return state.stores.every(isSuspect) ? open[0] : undefined;
+  const untried = storesInOrder(state, tenant, reserve.preferredStore).filter(
+    (store) => !reserve.asked.includes(store),
+  );
+  const candidates = reserve.isCollecting
+    ? [...untried].sort((left, right) => remainingAt(reserve, right) - remainingAt(reserve, left))
+    : untried.filter((store) => !isKnownExhausted(reserve, store, needed, nowUs));
+  const healthy = candidates.find((store) => !isSuspect(store));
+  if (healthy !== undefined) return healthy;
+  return state.stores.every(isSuspect) ? candidates[0] : undefined;
 };
 
-/** What the stores that refused of late have left, all together. */
-export const leftTogether = (reserve: TenantReserve, nowUs: Micros): number =>
-  [...reserve.dry.values()].reduce((sum, { left, untilUs }) => (nowUs < untilUs ? sum + left : sum), 0);
+/** Tokens left at all stores whose last refusal is still current. */
+export const totalRemaining = (reserve: TenantReserve, nowUs: Micros): number =>
+  [...reserve.exhaustedStores.values()].reduce((sum, { left, untilUs }) => (nowUs < untilUs ? sum + left : sum), 0);
 
-/** When the first store that is known to have too little may have enough again; undefined where none is known to. */
-export const earliestRefillUs = (reserve: TenantReserve, needed: number, nowUs: Micros): Micros | undefined => {
-  const dry = [...reserve.dry.values()].filter(({ untilUs, needed: lacked }) => nowUs < untilUs && needed >= lacked);
-  return dry.length === 0 ? undefined : Math.min(...dry.map(({ untilUs }) => untilUs));
+/** When the first exhausted store may have `needed` tokens again; undefined if no store is known to lack them. */
+export const earliestRetryAtUs = (reserve: TenantReserve, needed: number, nowUs: Micros): Micros | undefined => {
+  const exhausted = [...reserve.exhaustedStores.values()].filter(
+    ({ untilUs, needed: refusedNeed }) => nowUs < untilUs && needed >= refusedNeed,
+  );
+  return exhausted.length === 0 ? undefined : Math.min(...exhausted.map(({ untilUs }) => untilUs));
 };
--- a/src/quota/reserve/quota-reserve-state.ts
+++ b/src/quota/reserve/quota-reserve-state.ts
@@ -1,47 +1,49 @@
 import type { Micros } from '../../common/micros.js';
 import { emptyMap, type PersistentMap } from '../../common/persistent-map.js';
 
-/** Tokens that were granted together, and until when they may be spent. */
+/** Tokens of one grant; they can be spent until `expiresUs`. */
 export type Grant = { readonly tokens: number; readonly expiresUs: Micros };
 
-/** A request that waits for tokens, and until when. */
+/** A client request that waits for tokens until `dueUs` at the latest. */
 export type WaitingRequest = { readonly request: string; readonly cost: number; readonly dueUs: Micros };
 
-/** A store that had too little for a need, and when to ask it for as much again. */
-export type DryStore = {
+/** A store that refused `needed` tokens, and until when not to request that many from it. */
+export type ExhaustedStore = {
   readonly needed: number;
   readonly untilUs: Micros;
+  /** Consecutive refusals, for the exponential backoff. */
   readonly refusals: number;
-  /** What it had left. */
+  /** Tokens that the store had left. */
   readonly left: number;
 };
 
-/** What a router has of one tenant's tokens. */
+/** One tenant's tokens at a router. A round sends quota requests to one store after another until all waiting requests are settled. */
 export type TenantReserve = {
-  /** In the order in which they expire. */
+  /** Ordered by expiry. */
   readonly grants: readonly Grant[];
-  /** Tokens of further tries that are still to be paid. */
+  /** Tokens of retries that are not yet paid. */
   readonly debt: number;
   readonly waiting: readonly WaitingRequest[];
-  /** The running ask, if any, and the stores that this round has asked already. */
+  /** Number of the quota request under way, if any. */
   readonly ask: number | undefined;
+  /** Stores that were sent a quota request in this round. */
   readonly asked: readonly string[];
-  /** Whether a store has answered in this round that it has too little. */
+  /** Whether a store has replied `exhausted` in this round. */
   readonly isExhausted: boolean;
-  /** Whether this round collects parts, since no store has all that is needed and all of them together have. */
+  /** Whether this round collects partial grants: no single store has enough, but all of them together have. */
   readonly isCollecting: boolean;
-  readonly dry: ReadonlyMap<string, DryStore>;
+  readonly exhaustedStores: ReadonlyMap<string, ExhaustedStore>;
   /** The store that granted last. */
-  readonly preferred: string | undefined;
-  /** Tokens spent of late, decaying with time, as of a moment. */
+  readonly preferredStore: string | undefined;
+  /** Sum of the tokens spent, decaying exponentially with time, as of `spentAtUs`. */
   readonly spent: number;
   readonly spentAtUs: Micros;
   /** Tokens spent on credit since a store last answered. */
   readonly credit: number;
 };
 
-/** An ask under way. */
-export type RunningAsk = {
+/** A quota request to a store. After its timeout it is kept for a while, as the late reply still carries tokens. */
+export type PendingQuotaRequest = {
   readonly tenant: string;
   readonly store: string;
   readonly needed: number;
@@ -49,29 +51,30 @@
   readonly dueUs: Micros;
 };
 
-/** The quota side of one router. */
+/** State of one router's quota reserve: the tokens of every tenant and the quota requests under way. */
 export type QuotaReserveState = {
   readonly node: string;
   readonly stores: readonly string[];
-  /** Stores that did not answer, or may not grant, and until when they are passed over. */
+  /** Stores that did not reply, or may not grant, and until when they are skipped. */
   readonly suspects: ReadonlyMap<string, Micros>;
   readonly reserves: PersistentMap<string, TenantReserve>;
-  readonly asks: PersistentMap<number, RunningAsk>;
+  /** The pending quota requests by number. */
+  readonly asks: PersistentMap<number, PendingQuotaRequest>;
   readonly nextAsk: number;
-  /** When a store last answered any ask. */
-  readonly answeredUs: Micros;
-  /** When the next ask falls due; without end where none runs. */
+  /** When a store last granted or refused tokens; 0 if none has. */
+  readonly lastReplyUs: Micros;
+  /** Earliest `dueUs` of all quota requests; infinite if there is none. */
   readonly wakeUs: Micros;
 };
 
-export const startQuotaReserve = (node: string): QuotaReserveState => ({
+export const initialQuotaReserve = (node: string): QuotaReserveState => ({
   node,
   stores: [],
   suspects: new Map(),
   reserves: emptyMap(),
   asks: emptyMap(),
   nextAsk: 1,
-  answeredUs: 0,
+  lastReplyUs: 0,
   wakeUs: Number.POSITIVE_INFINITY,
 });
 
@@ -83,8 +86,8 @@
   asked: [],
   isExhausted: false,
   isCollecting: false,
-  dry: new Map(),
-  preferred: undefined,
+  exhaustedStores: new Map(),
+  preferredStore: undefined,
   spent: 0,
   spentAtUs: atUs,
   credit: 0,
--- a/src/quota/reserve/tenant-tokens.ts
+++ b/src/quota/reserve/tenant-tokens.ts
@@ -1,52 +1,52 @@
 import type { Micros } from '../../common/micros.js';
 import type { Grant, TenantReserve } from './quota-reserve-state.js';
 
-/** Over about so long the spending of a tenant is averaged. */
-const spendingSpanUs: Micros = 3_000_000;
+/** Time constant of the exponentially decaying average of a tenant's spending. */
+const spendingDecayUs: Micros = 3_000_000;
 const secondUs = 1_000_000;
 
-/** What is left of grants after so much of them was spent, those first that expire first. */
-const grantsLess = (grants: readonly Grant[], spent: number): readonly Grant[] => {
+/** Deducts tokens from grants, from those that expire first. */
+const deductTokens = (grants: readonly Grant[], spent: number): readonly Grant[] => {
   let left = spent;
   return grants.flatMap(({ tokens, expiresUs }) => {
-    const taken = Math.min(left, tokens);
-    left -= taken;
-    return tokens > taken ? [{ tokens: tokens - taken, expiresUs }] : [];
+    const deducted = Math.min(left, tokens);
+    left -= deducted;
+    return tokens > deducted ? [{ tokens: tokens - deducted, expiresUs }] : [];
   });
 };
 
-/** A reserve without what has expired by now; unspent tokens evaporate, and debt is paid first. */
-export const withoutExpired = (reserve: TenantReserve, nowUs: Micros): TenantReserve => {
+/** Drops expired grants, then pays the debt from the remaining ones. */
+export const settleGrants = (reserve: TenantReserve, nowUs: Micros): TenantReserve => {
   const grants = reserve.grants.filter(({ expiresUs }) => expiresUs > nowUs);
   if (reserve.debt === 0) return grants.length === reserve.grants.length ? reserve : { ...reserve, grants };
-  const paid = Math.min(reserve.debt, tokensIn(grants));
-  return { ...reserve, debt: reserve.debt - paid, grants: grantsLess(grants, paid) };
+  const paid = Math.min(reserve.debt, totalTokens(grants));
+  return { ...reserve, debt: reserve.debt - paid, grants: deductTokens(grants, paid) };
 };
 
-const tokensIn = (grants: readonly Grant[]): number => grants.reduce((sum, { tokens }) => sum + tokens, 0);
+const totalTokens = (grants: readonly Grant[]): number => grants.reduce((sum, { tokens }) => sum + tokens, 0);
 
-/** The tokens at hand; 0 while a debt is open. */
-export const tokensOf = ({ grants, debt }: TenantReserve): number => Math.max(0, tokensIn(grants) - debt);
+/** Tokens that can be spent: the grants less the debt. */
+export const spendableTokens = ({ grants, debt }: TenantReserve): number => Math.max(0, totalTokens(grants) - debt);
 
-export const withGrant = (reserve: TenantReserve, grant: Grant): TenantReserve =>
+export const addGrant = (reserve: TenantReserve, grant: Grant): TenantReserve =>
   grant.tokens <= 0
     ? reserve
     : { ...reserve, grants: [...reserve.grants, grant].sort((left, right) => left.expiresUs - right.expiresUs) };
 
-const decayed = ({ spent, spentAtUs }: TenantReserve, nowUs: Micros): number =>
-  spent * Math.exp(-Math.max(0, nowUs - spentAtUs) / spendingSpanUs);
+const decayedSpending = ({ spent, spentAtUs }: TenantReserve, nowUs: Micros): number =>
+  spent * Math.exp(-Math.max(0, nowUs - spentAtUs) / spendingDecayUs);
 
-/** Notes tokens as spent, wherever they came from. */
-export const withSpending = (reserve: TenantReserve, cost: number, nowUs: Micros): TenantReserve => ({
+/** Adds to the spending average only; the grants are unchanged. */
+export const recordSpending = (reserve: TenantReserve, cost: number, nowUs: Micros): TenantReserve => ({
   ...reserve,
-  spent: decayed(reserve, nowUs) + cost,
+  spent: decayedSpending(reserve, nowUs) + cost,
   spentAtUs: nowUs,
 });
 
-/** Spends tokens at hand. */
-export const withSpent = (reserve: TenantReserve, cost: number, nowUs: Micros): TenantReserve =>
-  withSpending({ ...reserve, grants: grantsLess(reserve.grants, cost) }, cost, nowUs);
+/** Spends granted tokens and adds them to the spending average. */
+export const spendTokens = (reserve: TenantReserve, cost: number, nowUs: Micros): TenantReserve =>
+  recordSpending({ ...reserve, grants: deductTokens(reserve.grants, cost) }, cost, nowUs);
 
-/** What this router has been spending of a tenant's tokens, a second. */
+/** Recent average of the tokens that this router spends for a tenant, per second. */
 export const spendingRateOf = (reserve: TenantReserve, nowUs: Micros): number =>
-  (decayed(reserve, nowUs) * secondUs) / spendingSpanUs;
+  (decayedSpending(reserve, nowUs) * secondUs) / spendingDecayUs;
--- a/src/quota/store/quota-store-state.ts
+++ b/src/quota/store/quota-store-state.ts
@@ -2,23 +2,23 @@
 import { emptyMap, type PersistentMap } from '../../common/persistent-map.js';
 import type { BucketLimits, TokenBucket } from '../token-bucket.js';
 
-/** The bucket of one tenant, and the limits that it was last filled under. */
+/** One tenant's bucket, and the limits under which it was last refilled. */
 export type TenantBucket = {
   readonly bucket: TokenBucket;
   readonly limits: BucketLimits;
 };
 
-/** What one core machine knows of quotas: its share of every tenant's bucket, in memory alone. */
+/** State of one control node's quota store: its share of every tenant's bucket. It is held in memory only and lost on restart. */
 export type QuotaStoreState = {
-  /** Since when this machine has granted nothing before its first configuration. */
+  /** When the store started. The buckets of its first configuration fill from empty from this moment on. */
   readonly startedUs: Micros;
   readonly isConfigured: boolean;
-  /** The tenants that it knows, those without a quota among them. */
+  /** All configured tenants, including those without a quota. */
   readonly tenants: ReadonlySet<string>;
   readonly buckets: PersistentMap<string, TenantBucket>;
 };
 
-export const startQuotaStore = (startedUs: Micros): QuotaStoreState => ({
+export const initialQuotaStore = (startedUs: Micros): QuotaStoreState => ({
   startedUs,
   isConfigured: false,
   tenants: new Set(),
--- a/src/quota/store/step-quota-store.ts
+++ b/src/quota/store/step-quota-store.ts
@@ -1,12 +1,12 @@
 import type { Micros } from '../../common/micros.js';
 import type { Tenant } from '../../setup/document/tenant.js';
-import { bucketShareOf } from '../bucket-share.js';
-import type { QuotaReply, QuotaRequest } from '../quota-grant.js';
-import { bucketEmptyAt, fullBucket, refilled, usUntil, type BucketLimits } from '../token-bucket.js';
+import { storeBucketLimitsOf } from '../bucket-share.js';
+import type { QuotaReply, QuotaRequest } from '../quota-messages.js';
+import { emptyBucket, fullBucket, refillBucket, timeUntilLevelUs, type BucketLimits } from '../token-bucket.js';
 import type { QuotaStoreEvent } from './quota-store-event.js';
 import type { QuotaStoreState, TenantBucket } from './quota-store-state.js';
 
-/** A new state, and the reply where one was asked for. */
+/** A new state, and the reply to a `request` event. */
 export type QuotaStoreStep = {
   readonly state: QuotaStoreState;
   readonly reply?: QuotaReply;
@@ -14,29 +14,29 @@
 
 type Configured = Extract<QuotaStoreEvent, { readonly type: 'configured' }>;
 
-/** Above this part of its capacity a bucket gives all that is wanted; below, only what is needed. */
-const generousPart = 0.5;
-/** A store without tokens is not asked again sooner. */
-const leastRetryUs: Micros = 50_000;
-/** Nor told to wait longer: limits may change meanwhile. */
-const mostRetryUs: Micros = 1_000_000;
+/** Tokens above this fraction of the capacity may be granted beyond `needed`, up to `wanted`. */
+const surplusThreshold = 0.5;
+/** Bounds of `retryAfterUs` in an `exhausted` reply. */
+const minRetryAfterUs: Micros = 50_000;
+/** Limits may change during a longer wait. */
+const maxRetryAfterUs: Micros = 1_000_000;
 
 /**
- * The bucket of a tenant under a newer configuration. One that was known keeps its level, cut to the new capacity. One
- * that comes with the first configuration starts empty, since this machine's former life may have granted all of it; one
- * that comes later starts full.
+ * A tenant's bucket under a new configuration. A known bucket keeps its level, capped at the new capacity. A bucket of the
+ * first configuration starts empty, since this node may have granted all of it before a restart. A tenant that is added
+ * later starts with a full bucket.
  */
-const configuredBucket = (
+const reconfigureBucket = (
   state: QuotaStoreState,
   known: TenantBucket | undefined,
   limits: BucketLimits,
   at: Micros,
 ): TenantBucket => {
   if (known !== undefined) {
-    const atOldLimits = refilled(known.bucket, known.limits, at);
-    return { bucket: refilled(atOldLimits, limits, at), limits };
+    const refilledBucket = refillBucket(known.bucket, known.limits, at);
+    return { bucket: refillBucket(refilledBucket, limits, at), limits };
   }
-  const first = state.isConfigured ? fullBucket(limits, at) : refilled(bucketEmptyAt(state.startedUs), limits, at);
+  const first = state.isConfigured ? fullBucket(limits, at) : refillBucket(emptyBucket(state.startedUs), limits, at);
   return { bucket: first, limits };
 };
 
@@ -44,7 +44,7 @@
   const bucketOf = ({ name, quota }: Tenant): TenantBucket | undefined =>
     quota === undefined || quota.ratePerSecond === 0
       ? undefined
-      : configuredBucket(state, state.buckets.get(name), bucketShareOf(quota, tolerance, shares), at);
+      : reconfigureBucket(state, state.buckets.get(name), storeBucketLimitsOf(quota, tolerance, shares), at);
   const limited = new Set(tenants.filter(({ quota }) => (quota?.ratePerSecond ?? 0) > 0).map(({ name }) => name));
   const buckets = state.buckets
     .filter((_bucket, name) => limited.has(name))
@@ -57,16 +57,20 @@
   return { ...state, isConfigured: true, tenants: new Set(tenants.map(({ name }) => name)), buckets };
 };
 
-const retryAfterOf = (waitUs: Micros): Micros => Math.min(mostRetryUs, Math.max(leastRetryUs, waitUs));
+const clampRetryAfter = (waitUs: Micros): Micros => Math.min(maxRetryAfterUs, Math.max(minRetryAfterUs, waitUs));
 
-/** What a bucket gives: all that is needed, and more of what is wanted while it is well filled; or a part; or nothing. */
-const givenOf = (level: number, { capacity }: BucketLimits, { needed, wanted, takesPart }: QuotaRequest): number => {
+/** Tokens to grant: `needed` plus any surplus up to `wanted`; or, if the level is below `needed`, all of it or nothing. */
+const grantedTokens = (
+  level: number,
+  { capacity }: BucketLimits,
+  { needed, wanted, takesPart }: QuotaRequest,
+): number => {
   if (level < needed) return takesPart ? level : 0;
-  const spare = level - needed - capacity * generousPart;
-  return needed + Math.max(0, Math.min(wanted - needed, spare));
+  const surplus = level - needed - capacity * surplusThreshold;
+  return needed + Math.max(0, Math.min(wanted - needed, surplus));
 };
 
-/** Grants atomically: what is granted has left the bucket with the same step. */
+/** Replies to a quota request; the granted tokens are deducted in the same step. */
 const onRequest = (state: QuotaStoreState, request: QuotaRequest, at: Micros): QuotaStoreStep => {
   const { tenant, needed, wanted } = request;
   const known = state.buckets.get(tenant);
@@ -75,16 +79,16 @@
       ? { state, reply: { type: 'granted', tokens: Math.max(needed, wanted) } }
       : { state, reply: { type: 'unavailable' } };
   const { limits } = known;
-  const bucket = refilled(known.bucket, limits, at);
-  const tokens = givenOf(bucket.level, limits, request);
+  const bucket = refillBucket(known.bucket, limits, at);
+  const tokens = grantedTokens(bucket.level, limits, request);
   const left = { level: bucket.level - tokens, atUs: bucket.atUs };
   const nextState = { ...state, buckets: state.buckets.set(tenant, { bucket: left, limits }) };
   if (tokens >= needed) return { state: nextState, reply: { type: 'granted', tokens } };
-  const retryAfterUs = retryAfterOf(usUntil(left, limits, Math.min(needed, limits.capacity)));
+  const retryAfterUs = clampRetryAfter(timeUntilLevelUs(left, limits, Math.min(needed, limits.capacity)));
   return { state: nextState, reply: { type: 'exhausted', tokens, left: left.level, retryAfterUs } };
 };
 
-/** One core machine's share of the quota store: one event in, a new state and at most one reply out. */
+/** State machine of one control node's quota store. Only a `request` event has a reply. */
 export const stepQuotaStore = (state: QuotaStoreState, event: QuotaStoreEvent): QuotaStoreStep => {
   switch (event.type) {
     case 'configured':
--- a/src/router/delivery/carry.ts
+++ b/src/router/delivery/carry.ts
@@ -1,7 +1,7 @@
 import type { ServerLoad } from '../../decision/health/server-load.js';
 import type { DeliveryError } from '../../decision/machine/event/delivery-error.js';
-import type { CarriedHead } from '../../servers/link/carried-head.js';
-import type { OpaqueOrder } from '../../servers/link/opaque-order.js';
+import type { OpaqueResponseHead } from '../../servers/link/opaque-response-head.js';
+import type { OpaqueRequest } from '../../servers/link/opaque-request.js';
 import type { ServerLink } from '../../servers/link/server-link.js';
 import type { Continuation } from '../exchange/continuation.js';
 import type { DeliveryEnd } from './delivery-end.js';
@@ -17,14 +17,14 @@
 /** Receipts up to this size are taken in whole before any of it is given on, so that a broken one can be tried again. */
 const mostWholeBytes = 1 << 18;
 
-const isSuccess = (head: CarriedHead): boolean => head.status >= 200 && head.status < 300;
+const isSuccess = (head: OpaqueResponseHead): boolean => head.status >= 200 && head.status < 300;
 
 /** Runs one try of an opaque exchange over one link. After an error the link is closed. */
 export const carry = (
   continuation: Continuation,
   link: ServerLink,
-  carryOver: NonNullable<ServerLink['carry']>,
-  order: OpaqueOrder,
+  carryOver: NonNullable<ServerLink['forward']>,
+  order: OpaqueRequest,
   signal: AbortSignal,
   { piece: tellPiece, load: tellLoad }: CarryEvents,
 ): Promise<DeliveryEnd> =>
@@ -33,7 +33,7 @@
     const { opaque } = caller;
     const keptBytes: Uint8Array[] = [];
     let keptSize = 0;
-    let head: CarriedHead | undefined;
+    let head: OpaqueResponseHead | undefined;
     let isPassing = false;
     let isOver = false;
     const finish = (end: DeliveryEnd): void => {
@@ -54,7 +54,7 @@
       carriage.pause();
       opaque.onRoom(() => carriage.resume());
     };
-    const pass = (passedHead: CarriedHead): void => {
+    const pass = (passedHead: OpaqueResponseHead): void => {
       isPassing = true;
       if (stream.pieces === 0) opaque?.begin(passedHead);
       for (const bytes of keptBytes.splice(0)) write(bytes);
--- a/src/servers/link/client-over.ts
+++ b/src/servers/link/client-over.ts
@@ -1,23 +1,23 @@
 import { Client } from 'undici';
 import type { ServerConnection } from './server-connection.js';
 
-/** For how long a client keeps a connection open on which nothing is under way. */
+/** How long a client keeps an idle connection open. */
 export type IdleLimits = Pick<Client.Options, 'keepAliveTimeout' | 'keepAliveMaxTimeout' | 'keepAliveTimeoutThreshold'>;
 
-/** An HTTP client on one connection that stands. It never opens another; answers have no time limit of its own. */
+/** An HTTP client on one open connection. It never reconnects, and sets no timeout on responses. */
 export const clientOver = ({ socket }: ServerConnection, address: string, idleLimits: IdleLimits): Client => {
-  let isGiven = false;
+  let isConnected = false;
   return new Client(`http://${address}`, {
     ...idleLimits,
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
     connect: (_options, callback) => {
-      const isFirst = !isGiven;
-      isGiven = true;
+      const isFirstCall = !isConnected;
+      isConnected = true;
       queueMicrotask(() => {
-        if (isFirst && !socket.destroyed) callback(null, socket);
-        else callback(new Error('a link stands on one connection'), null);
+        if (isFirstCall && !socket.destroyed) callback(null, socket);
+        else callback(new Error('the connection of this link is closed; a link does not reconnect'), null);
       });
     },
   });
--- a/src/servers/link/dial-connection.ts
+++ b/src/servers/link/dial-connection.ts
@@ -5,8 +5,8 @@
 import { addressParts } from '../../spread/link/address-parts.js';
 import { openServerConnection, type ServerConnection } from './server-connection.js';
 
-/** Opens a connection to a server within a time limit. A refusal is told apart from other failures. */
-export const dialConnection = (address: string, budgetUs: Micros): Promise<Either<TypedError, ServerConnection>> =>
+/** Opens a TCP connection within a timeout. Left `link-refused` if the peer refused it, `link-error` on any other failure. */
+export const dialConnection = (address: string, timeoutUs: Micros): Promise<Either<TypedError, ServerConnection>> =>
   new Promise((resolve) => {
     const { host, port } = addressParts(address);
     const connection = openServerConnection(host, port);
@@ -16,9 +16,9 @@
       const type = error.message.includes('ECONNREFUSED') ? 'link-refused' : 'link-error';
       resolve(Left(typedError(type, error.message)));
     };
-    const cancelTimer = steadyClock.after(budgetUs, () => {
+    const cancelTimer = steadyClock.after(timeoutUs, () => {
       socket.destroy();
-      resolve(Left(typedError('link-error', 'no connection came up in time')));
+      resolve(Left(typedError('link-error', 'TCP connect timed out')));
     });
     socket.once('error', fail);
     socket.once('connect', () => {
--- a/src/servers/link/link-pool.ts
+++ b/src/servers/link/link-pool.ts
@@ -5,40 +5,43 @@
 import type { Dial } from './dial.js';
 import type { ServerLink } from './server-link.js';
 
-/** The open links to all listed servers. A link carries one exchange at a time. */
+/** Pool of open links to the listed servers. A link carries one exchange at a time. */
 export type LinkPool = {
-  readonly take: (server: ListedServer) => Promise<Either<TypedError, ServerLink>>;
-  /** Takes a link that was opened elsewhere among the idle ones. */
+  /** Returns an idle link, or dials the server if there is none. */
+  readonly acquire: (server: ListedServer) => Promise<Either<TypedError, ServerLink>>;
+  /** Adds a link that was opened outside of the pool to the idle ones. */
   readonly keep: (link: ServerLink) => void;
-  readonly giveBack: (link: ServerLink) => void;
-  /** Ends every link to a server, those in use too. */
+  /** Returns an acquired link. The link is closed if enough links to its server are idle. */
+  readonly release: (link: ServerLink) => void;
+  /** Closes every link to a server, including those in use. */
   readonly cut: (key: ServerKey) => void;
-  /** Ends the idle links to servers that are no longer listed as they were. */
-  readonly keepOnly: (keys: ReadonlySet<ServerKey>) => void;
+  /** Closes the idle links to all servers other than these. */
+  readonly retainOnly: (keys: ReadonlySet<ServerKey>) => void;
   readonly close: () => void;
+  /** Number of open links, idle or in use. */
   readonly size: () => number;
 };
 
-const mostIdle = 32;
+const maxIdlePerServer = 32;
 
 export const openLinkPool = (dial: Dial): LinkPool => {
   const idleLinks = new Map<ServerKey, ServerLink[]>();
   const allLinks = new Set<ServerLink>();
-  const forget = (link: ServerLink): void => {
+  const discard = (link: ServerLink): void => {
     link.close();
     allLinks.delete(link);
   };
-  const giveBack = (link: ServerLink): void => {
+  const returnToIdle = (link: ServerLink): void => {
     const idle = idleLinks.get(link.key) ?? [];
-    if (!link.isOpen() || idle.length >= mostIdle) {
-      forget(link);
+    if (!link.isOpen() || idle.length >= maxIdlePerServer) {
+      discard(link);
       return;
     }
     idle.push(link);
     idleLinks.set(link.key, idle);
   };
   return {
-    take: async (server) => {
+    acquire: async (server) => {
       const idle = idleLinks.get(serverKeyOf(server)) ?? [];
       for (let link = idle.pop(); link !== undefined; link = idle.pop()) {
         if (link.isOpen()) return Right(link);
@@ -49,22 +52,22 @@
     },
     keep: (link) => {
       allLinks.add(link);
-      giveBack(link);
+      returnToIdle(link);
     },
-    giveBack,
+    release: returnToIdle,
     cut: (key) => {
-      for (const link of allLinks) if (link.key === key) forget(link);
+      for (const link of allLinks) if (link.key === key) discard(link);
       idleLinks.delete(key);
     },
-    keepOnly: (keys) => {
+    retainOnly: (keys) => {
       for (const [key, idle] of idleLinks) {
         if (keys.has(key)) continue;
-        idle.forEach(forget);
+        idle.forEach(discard);
         idleLinks.delete(key);
       }
     },
     close: () => {
-      allLinks.forEach(forget);
+      allLinks.forEach(discard);
       idleLinks.clear();
     },
     size: () => allLinks.size,
--- a/src/servers/link/opaque-order.ts
+++ b/src/servers/link/opaque-request.ts
@@ -1,15 +1,17 @@
 import type { Micros } from '../../common/micros.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
 
-/** An opaque exchange as one server is to get it. */
-export type OpaqueOrder = {
+/** An opaque exchange, with what one attempt of it sends to a server. */
+export type OpaqueRequest = {
   readonly exchange: OpaqueExchange;
+  /** Time left for the exchange. */
   readonly budgetUs: Micros;
+  /** The last piece that the client has received, if a stream is resumed. */
   readonly afterPiece: number | undefined;
   /** From 0, the most urgent, to 9. */
   readonly urgency: number | undefined;
-  /** The tenant that the request comes from, if it comes from one. */
+  /** The tenant of the client, if any. */
   readonly tenant?: string | undefined;
-  /** Whether the API key of the request is kept from the server. */
+  /** Whether the API key is removed from the request. */
   readonly withholdsKey?: boolean;
 };
--- a/src/servers/link/open-link.ts
+++ b/src/servers/link/open-link.ts
@@ -7,21 +7,21 @@
 import type { ListedServer } from '../list/listed-server.js';
 import { serverKeyOf, type ServerKey } from '../list/server-key.js';
 import { clientOver, type IdleLimits } from './client-over.js';
-import { confirmIdentity } from './confirm-identity.js';
+import { verifyIdentity } from './verify-identity.js';
 import { dialConnection } from './dial-connection.js';
 import type { Dial } from './dial.js';
 import type { ServerConnection } from './server-connection.js';
 import type { ServerLink } from './server-link.js';
 
-const dialBudgetUs: Micros = 1_000_000;
-const confirmBudgetUs: Micros = 2_000_000;
-const probeBudgetUs: Micros = 1_000_000;
+const dialTimeoutUs: Micros = 1_000_000;
+const identityTimeoutUs: Micros = 2_000_000;
+const probeTimeoutUs: Micros = 1_000_000;
 
 const idleLimits: IdleLimits = { keepAliveTimeout: 600_000, keepAliveMaxTimeout: 600_000 };
-/** A body is never full for the library, which would pause its parser; the connection is paused instead. */
-const bodyRoomBytes = Number.MAX_SAFE_INTEGER;
+/** Keeps the HTTP library from pausing its parser on a full body buffer; the connection is paused instead. */
+const bodyBufferBytes = Number.MAX_SAFE_INTEGER;
 
-/** The chunks of a body. Nothing more is read while its reader is busy with one. */
+/** The chunks of a body. The connection is paused while the consumer handles a chunk. */
 const chunksOf = async function* (body: AsyncIterable<unknown>, connection: ServerConnection): AsyncGenerator<string> {
   for await (const chunk of body) {
     connection.pause();
@@ -30,11 +30,11 @@
   }
 };
 
-/** Whether an answer tells by itself where it ends, and not by the end of its connection. */
-const tellsItsEnd = (headers: Readonly<Record<string, unknown>>): boolean =>
+/** Whether a response is framed by a length or by chunks, so that a truncated body can be detected. */
+const isSelfDelimited = (headers: Readonly<Record<string, unknown>>): boolean =>
   headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
-const linkOver = (
+const createLink = (
   connection: ServerConnection,
   client: Client,
   key: ServerKey,
@@ -44,16 +44,16 @@
   key,
   isOpen,
   close,
-  confirm: async () => {
-    const { signal, takeBack } = abortAfter(steadyClock, probeBudgetUs);
+  probe: async () => {
+    const { signal, takeBack } = abortAfter(steadyClock, probeTimeoutUs);
     try {
-      const receipt = await client.request({
+      const response = await client.request({
         method: 'GET',
         path: '/identity',
         signal,
       });
-      await receipt.body.dump();
-      return receipt.statusCode === 200;
+      await response.body.dump();
+      return response.statusCode === 200;
     } catch {
       return false;
     } finally {
@@ -61,25 +61,25 @@
     }
   },
   deliver: async (order, signal) => {
-    const receipt = await client.request({
+    const response = await client.request({
       method: 'POST',
       path: '/exchanges',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(order),
-      highWaterMark: bodyRoomBytes,
+      highWaterMark: bodyBufferBytes,
       signal,
     });
-    if (!tellsItsEnd(receipt.headers)) {
+    if (!isSelfDelimited(response.headers)) {
       close();
-      throw new Error('the answer does not tell where it ends');
+      throw new Error('response has neither Content-Length nor Transfer-Encoding');
     }
-    receipt.body.setEncoding('utf8');
-    return { status: receipt.statusCode, body: chunksOf(receipt.body, connection) };
+    response.body.setEncoding('utf8');
+    return { status: response.statusCode, body: chunksOf(response.body, connection) };
   },
 });
 
-/** Makes a server say who it is, on the connection that will carry the exchanges. */
-const confirmedLink = async (
+/** Verifies the server's identity on an open connection; closes the connection if that fails. */
+const openVerifiedLink = async (
   server: ListedServer,
   connection: ServerConnection,
 ): Promise<Either<TypedError, ServerLink>> => {
@@ -92,21 +92,21 @@
   };
   client.on('disconnect', close);
   client.on('connectionError', close);
-  const { signal, takeBack } = abortAfter(steadyClock, confirmBudgetUs);
+  const { signal, takeBack } = abortAfter(steadyClock, identityTimeoutUs);
   try {
-    const confirmed = await client.request({
+    const response = await client.request({
       method: 'GET',
       path: '/identity',
       signal,
     });
-    const confirmation = confirmIdentity(server, await confirmed.body.text());
-    if (confirmation.isLeft()) {
+    const verified = verifyIdentity(server, await response.body.text());
+    if (verified.isLeft()) {
       close();
-      return confirmation;
+      return verified;
     }
     return isOpen
-      ? Right(linkOver(connection, client, serverKeyOf(server), () => isOpen, close))
-      : Left(typedError('link-error', 'the link closed'));
+      ? Right(createLink(connection, client, serverKeyOf(server), () => isOpen, close))
+      : Left(typedError('link-error', 'connection closed during the identity check'));
   } catch (thrown) {
     close();
     return Left(typedError('link-error', messageOf(thrown)));
@@ -115,11 +115,11 @@
   }
 };
 
-/** Dials a server once and makes it say who it is, on the same connection that will carry the exchanges. */
+/** Dials a server over HTTP, in the router's own protocol. */
 export const openServerLink: Dial = async (server) => {
-  const dialed = await dialConnection(server.address, dialBudgetUs);
+  const dialed = await dialConnection(server.address, dialTimeoutUs);
   return dialed.caseOf<Promise<Either<TypedError, ServerLink>>>({
     Left: (error) => Promise.resolve(Left(error)),
-    Right: (connection) => confirmedLink(server, connection),
+    Right: (connection) => openVerifiedLink(server, connection),
   });
 };
--- a/src/servers/link/server-connection.ts
+++ b/src/servers/link/server-connection.ts
@@ -1,35 +1,35 @@
 import { createConnection, type Socket } from 'node:net';
 
 /**
- * A TCP connection to a server, read one chunk at a time, for an HTTP client library. It knows how it ended: in order, once
- * the peer has sent all that it had to send, or broken off by a reset, an error or a close of our own. HTTP libraries do not
- * tell these apart for answers that end with their connection.
+ * A TCP connection to a server, read one chunk at a time, for an HTTP client library. It distinguishes an orderly end (FIN
+ * after all data) from a reset, an error or a local close. HTTP libraries treat all of these as the end of a response that
+ * is delimited by the close of its connection.
  */
 export type ServerConnection = {
-  /** What the library reads and writes. Its listeners come after those of the connection. */
+  /** The socket for the library. The library's listeners run after those of the connection. */
   readonly socket: Socket;
-  /** Stops handing bytes to the library: at most one chunk more is read, and held back. */
+  /** Stops passing bytes to the library. At most one more chunk is read, and buffered until `resume`. */
   readonly pause: () => void;
   readonly resume: () => void;
-  /** Whether it ended otherwise than in order. */
+  /** Whether the connection ended other than by an orderly end. */
   readonly isBroken: () => boolean;
 };
 
 const chunkBytes = 65_536;
-/** All connections read into it: a chunk is copied out of it in the same step in which it was read. */
+/** Shared by all connections: each chunk is copied out of it synchronously in the read callback. */
 const chunkBuffer = Buffer.allocUnsafe(chunkBytes);
 
 /**
- * Opens a connection. After each chunk it reads nothing until the next turn of the event loop. A reset that comes together
- * with bytes is therefore read by itself, as an error: while a socket goes on reading, libuv reports a hung-up connection
- * after a short read as an end in order, and the error is never seen.
+ * Opens a connection. After each chunk it stops reading until the next turn of the event loop, so that a reset that arrives
+ * together with data is read separately and reported as an error. On a socket that keeps reading, libuv reports a hang-up
+ * after a short read as an orderly end and never reports the error.
  */
 export const openServerConnection = (host: string, port: number): ServerConnection => {
   let isPaused = false;
   let hasEnded = false;
   let hasFailed = false;
   let chunks: Buffer[] = [];
-  const handOver = (): void => {
+  const flush = (): void => {
     if (isPaused) return;
     for (const chunk of chunks) socket.push(chunk);
     chunks = [];
@@ -42,7 +42,7 @@
       buffer: chunkBuffer,
       callback: (count, buffer) => {
         chunks.push(Buffer.from(buffer.subarray(0, count)));
-        setImmediate(handOver);
+        setImmediate(flush);
         return false;
       },
     },
@@ -60,7 +60,7 @@
     },
     resume: () => {
       isPaused = false;
-      setImmediate(handOver);
+      setImmediate(flush);
     },
     isBroken: () => hasFailed || (socket.destroyed && !hasEnded),
   };
--- a/src/servers/link/server-link.ts
+++ b/src/servers/link/server-link.ts
@@ -1,19 +1,19 @@
 import type { ServerKey } from '../list/server-key.js';
-import type { Carriage } from './carriage.js';
-import type { CarryListener } from './carry-listener.js';
-import type { OpaqueOrder } from './opaque-order.js';
-import type { ServerOrder } from './server-order.js';
-import type { ServerReceipt } from './server-receipt.js';
+import type { ForwardHandle } from './forward-handle.js';
+import type { OpaqueResponseListener } from './opaque-response-listener.js';
+import type { OpaqueRequest } from './opaque-request.js';
+import type { DeliveryRequest } from './delivery-request.js';
+import type { DeliveryResponse } from './delivery-response.js';
 
-/** One TCP connection to one confirmed server. When the connection ends the link ends; it never dials again. */
+/** One TCP connection to one server whose identity was verified. The link ends with its connection and never reconnects. */
 export type ServerLink = {
   readonly key: ServerKey;
   readonly isOpen: () => boolean;
   readonly close: () => void;
-  /** Asks whether the server still answers on this link. */
-  readonly confirm: () => Promise<boolean>;
-  /** Hands an order over; it is lost with the link. Aborting it ends the link. */
-  readonly deliver: (order: ServerOrder, signal: AbortSignal) => Promise<ServerReceipt>;
-  /** Carries an exchange whose text passes unread, where servers speak a way of their own. */
-  readonly carry?: (order: OpaqueOrder, listener: CarryListener) => Carriage;
+  /** Whether the server still answers on this link. */
+  readonly probe: () => Promise<boolean>;
+  /** Sends an exchange in the router's own protocol. Rejects if the link fails; aborting it closes the link. */
+  readonly deliver: (order: DeliveryRequest, signal: AbortSignal) => Promise<DeliveryResponse>;
+  /** Forwards an exchange without parsing its content; only on platforms whose servers have their own HTTP protocol. */
+  readonly forward?: (order: OpaqueRequest, listener: OpaqueResponseListener) => ForwardHandle;
 };
--- a/src/servers/link/confirm-identity.ts
+++ b/src/servers/link/verify-identity.ts
@@ -12,8 +12,8 @@
   service: string().required(),
 }).required();
 
-/** Whether what answered at an address says that it is the listed server. */
-export const confirmIdentity = (server: ListedServer, text: string): Either<TypedError, void> =>
+/** Checks the body of a response to GET /identity against the listed server. Left `bad-message` if it is another server. */
+export const verifyIdentity = (server: ListedServer, text: string): Either<TypedError, void> =>
   parseJson(text, 'bad-message')
     .toMaybe()
     .chain((value) => checked(identitySchema, value).toMaybe())
@@ -23,5 +23,11 @@
     )
     .caseOf<Either<TypedError, void>>({
       Just: () => Right(undefined),
-      Nothing: () => Left(typedError('bad-message', `${server.address} is not ${serverKeyOf(server)}`)),
+      Nothing: () =>
+        Left(
+          typedError(
+            'bad-message',
+            `the server at ${server.address} did not identify itself as ${serverKeyOf(server)}`,
+          ),
+        ),
     });
--- a/src/servers/list/check-list.ts
+++ b/src/servers/list/check-list.ts
@@ -4,29 +4,32 @@
 import type { Fault } from '../../common/fault.js';
 import type { ServerList } from './server-list.js';
 
-const listedName = () =>
+const identifier = () =>
   string()
     .required()
-    .matches(/^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$/, '${path} must be a plain name');
+    .matches(
+      /^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$/,
+      '${path} must be 1 to 128 letters, digits, dots, underscores or hyphens, and begin with a letter or digit',
+    );
 
 export const listSchema = object({
   version: number().required().integer().min(1),
   atUs: number().required().integer().min(0),
   servers: array(
     object({
-      id: listedName(),
-      incarnation: listedName(),
-      service: listedName(),
+      id: identifier(),
+      incarnation: identifier(),
+      service: identifier(),
       address: string()
         .required()
         .matches(/^[0-9.]+:\d{1,5}$|^\[[0-9a-f:]+\]:\d{1,5}$/, '${path} must be IP:port'),
-      locality: listedName(),
+      locality: identifier(),
       listedAtUs: number().required().integer().min(0),
       state: string()
         .required()
         .oneOf(['up', 'leaving'] as const),
       leavingAtUs: number().integer().min(0),
-      weights: listedName().optional(),
+      weights: identifier().optional(),
       weightsAtUs: number().integer().min(0),
       slots: number().integer().min(0),
     })
@@ -34,7 +37,7 @@
       .noUnknown()
       .test(
         'leaving',
-        '${path} is leaving without leavingAtUs',
+        '${path} has state leaving without leavingAtUs',
         (server) => server.state !== 'leaving' || server.leavingAtUs !== undefined,
       ),
   )
@@ -48,5 +51,5 @@
   .required()
   .noUnknown();
 
-/** Checks a list from the platform whole. */
+/** Validates a list that the platform pushed. Left with every fault found. */
 export const checkList = (value: unknown): Either<readonly Fault[], ServerList> => checked(listSchema, value);
--- a/src/servers/list/list-version.ts
+++ b/src/servers/list/list-version.ts
@@ -3,26 +3,26 @@
 import type { ListedServer } from './listed-server.js';
 import { rankOfState } from './server-state.js';
 
-/** Some two years of a fleet's time line, in milliseconds; 60 000 servers keep the version a safe integer. */
+/** Upper bound on stamps: about two years of the fleet's clock, in milliseconds. The version of 60 000 servers is a safe integer. */
 const horizonMs = 2 ** 36;
 
-const wholeMs = (stampUs: Micros): number => Math.floor(stampUs / 1_000);
-const leftOf = (stampUs: Micros | undefined): number =>
-  stampUs === undefined ? 0 : Math.max(0, horizonMs - wholeMs(stampUs));
+const toMs = (stampUs: Micros): number => Math.floor(stampUs / 1_000);
+const msToHorizon = (stampUs: Micros | undefined): number =>
+  stampUs === undefined ? 0 : Math.max(0, horizonMs - toMs(stampUs));
 
-/** What a server gives to a list's version; it grows with each step of the state, and when a stamp becomes earlier. */
-export const versionPartOf = (server: ListedServer): number =>
+/** A server's contribution to the list version. It grows with every state transition and when a stamp moves earlier. */
+export const versionContributionOf = (server: ListedServer): number =>
   rankOfState(server.state) +
-  leftOf(server.listedAtUs) +
-  leftOf(server.leavingAtUs) +
-  leftOf(server.goneAtUs) +
+  msToHorizon(server.listedAtUs) +
+  msToHorizon(server.leavingAtUs) +
+  msToHorizon(server.goneAtUs) +
   (server.slots ?? 0) +
-  wholeMs(server.weightsAtUs ?? 0);
+  toMs(server.weightsAtUs ?? 0);
 
 export const versionOfServers = (servers: readonly ListedServer[], spent: number): number =>
-  servers.reduce((sum, server) => sum + versionPartOf(server), spent);
+  servers.reduce((sum, server) => sum + versionContributionOf(server), spent);
 
-/** What the servers of a list say, in a few characters, in whatever order the keys of an entry are. */
+/** Short hash of the entries of a list; independent of the order of the keys of an entry. */
 export const digestOfServers = (servers: readonly ListedServer[]): string => {
   const hash = createHash('sha256');
   for (const server of servers)
--- a/src/servers/list/listed-server.ts
+++ b/src/servers/list/listed-server.ts
@@ -1,7 +1,7 @@
 import type { Micros } from '../../common/micros.js';
 import type { ServerState } from './server-state.js';
 
-/** One server as the platform lists it; its times are the platform's own. */
+/** One server of the list. Its stamps are the platform's in a pushed list, and the fleet's clock in a polled list. */
 export type ListedServer = {
   readonly id: string;
   readonly incarnation: string;
@@ -11,11 +11,11 @@
   readonly listedAtUs: Micros;
   readonly state: ServerState;
   readonly leavingAtUs?: Micros;
-  /** When a whole reading first lacked it; only tombstones of asked lists have it. */
+  /** When a complete poll first lacked the server; only tombstones of polled lists have it. */
   readonly goneAtUs?: Micros;
-  /** How many exchanges it takes at once, where the platform tells. */
+  /** How many exchanges the server runs concurrently, if the platform states it. */
   readonly slots?: number;
-  /** The version of the weights that the server runs. */
+  /** Version of the model weights that the server runs. */
   readonly weights?: string;
   readonly weightsAtUs?: Micros;
 };
--- a/src/servers/list/server-key.ts
+++ b/src/servers/list/server-key.ts
@@ -1,6 +1,6 @@
 import type { ListedServer } from './listed-server.js';
 
-/** A server's identity: id, incarnation, service and address together. */
+/** Identifies one incarnation of a server: id, incarnation, service and address. */
 export type ServerKey = string;
 
 export const serverKeyOf = (server: ListedServer): ServerKey =>
--- a/src/servers/list/server-list.ts
+++ b/src/servers/list/server-list.ts
@@ -1,7 +1,7 @@
 import type { Micros } from '../../common/micros.js';
 import type { ListedServer } from './listed-server.js';
 
-/** The platform's list of servers: told by the platform, which gives version and times, or asked for. */
+/** The platform's list of servers: pushed by the platform, with its version and stamps, or assembled from polls (`PolledList`). */
 export type ServerList = {
   readonly version: number;
   readonly atUs: Micros;
--- a/src/servers/list/server-state.ts
+++ b/src/servers/list/server-state.ts
@@ -1,5 +1,5 @@
-/** What the platform says of a server; within one life it only goes on, from left to right. */
+/** The platform's state of a server. Within one incarnation it only advances, from left to right. */
 export type ServerState = 'up' | 'leaving' | 'gone';
 
-/** How far a state is on its way. */
+/** Position of a state in that order, from 1. */
 export const rankOfState = (state: ServerState): number => ['up', 'leaving', 'gone'].indexOf(state) + 1;
--- a/src/servers/probe/prober.ts
+++ b/src/servers/probe/prober.ts
@@ -5,30 +5,38 @@
 import type { ListedServer } from '../list/listed-server.js';
 import { serverKeyOf, type ServerKey } from '../list/server-key.js';
 
-/** Asks every listed server now and then whether it is still itself. */
+/** Active health checks: probes every listed server periodically on a link of its own. */
 export type Prober = {
-  readonly watch: (servers: readonly ListedServer[]) => void;
+  /** Probes these servers and no others from now on. */
+  readonly setServers: (servers: readonly ListedServer[]) => void;
   readonly close: () => void;
 };
 
-const probeSpanUs: Micros = 500_000;
-const missesUntilDark = 3;
+const probeIntervalUs: Micros = 500_000;
+const unreachableAfterMisses = 3;
 
-/** `tell` hears of each change: true when a server answers as itself, false when it went dark. */
-export const openProber = (dial: Dial, clock: Clock, tell: (key: ServerKey, isLight: boolean) => void): Prober => {
+/**
+ * Calls `notify` on each change of a server's reachability. A server is unreachable after several failed probes in a row,
+ * or at once if it refuses connections or another server answers at its address.
+ */
+export const openProber = (
+  dial: Dial,
+  clock: Clock,
+  notify: (key: ServerKey, isReachable: boolean) => void,
+): Prober => {
   const watched = new Map<ServerKey, () => void>();
   const links = new Map<ServerKey, ServerLink>();
   const misses = new Map<ServerKey, number>();
-  const lights = new Map<ServerKey, boolean>();
+  const reachability = new Map<ServerKey, boolean>();
 
-  const settle = (key: ServerKey, isLight: boolean, atOnce: boolean): void => {
+  const recordResult = (key: ServerKey, isReachable: boolean, isConclusive: boolean): void => {
     if (!watched.has(key)) return;
-    const missCount = isLight ? 0 : (misses.get(key) ?? 0) + 1;
+    const missCount = isReachable ? 0 : (misses.get(key) ?? 0) + 1;
     misses.set(key, missCount);
-    if (!isLight && !atOnce && missCount < missesUntilDark) return;
-    if (lights.get(key) === isLight) return;
-    lights.set(key, isLight);
-    tell(key, isLight);
+    if (!isReachable && !isConclusive && missCount < unreachableAfterMisses) return;
+    if (reachability.get(key) === isReachable) return;
+    reachability.set(key, isReachable);
+    notify(key, isReachable);
   };
 
   const redial = async (server: ListedServer): Promise<void> => {
@@ -38,47 +46,47 @@
       .ifRight((link) => {
         if (watched.has(key)) links.set(key, link);
         else link.close();
-        settle(key, true, true);
+        recordResult(key, true, true);
       })
-      .ifLeft((error) => settle(key, false, error.type === 'bad-message' || error.type === 'link-refused'));
+      .ifLeft((error) => recordResult(key, false, error.type === 'bad-message' || error.type === 'link-refused'));
   };
 
   const probe = async (server: ListedServer): Promise<void> => {
     const key = serverKeyOf(server);
-    const knownLink = links.get(key);
-    if (knownLink === undefined || !knownLink.isOpen()) return redial(server);
-    if (await knownLink.confirm()) return settle(key, true, false);
-    knownLink.close();
+    const link = links.get(key);
+    if (link === undefined || !link.isOpen()) return redial(server);
+    if (await link.probe()) return recordResult(key, true, false);
+    link.close();
     links.delete(key);
-    settle(key, false, false);
+    recordResult(key, false, false);
   };
 
-  const plan = (server: ListedServer, afterUs: Micros): void => {
-    const takeBack = clock.after(afterUs, () => {
+  const scheduleProbe = (server: ListedServer, afterUs: Micros): void => {
+    const cancelProbe = clock.after(afterUs, () => {
       void probe(server).finally(() => {
-        if (watched.has(serverKeyOf(server))) plan(server, probeSpanUs);
+        if (watched.has(serverKeyOf(server))) scheduleProbe(server, probeIntervalUs);
       });
     });
-    watched.set(serverKeyOf(server), takeBack);
+    watched.set(serverKeyOf(server), cancelProbe);
   };
 
-  const forget = (key: ServerKey): void => {
+  const stopProbing = (key: ServerKey): void => {
     watched.get(key)?.();
     watched.delete(key);
     links.get(key)?.close();
     links.delete(key);
     misses.delete(key);
-    lights.delete(key);
+    reachability.delete(key);
   };
 
   return {
-    watch: (servers) => {
+    setServers: (servers) => {
       const keys = new Set(servers.map(serverKeyOf));
-      for (const key of [...watched.keys()]) if (!keys.has(key)) forget(key);
+      for (const key of [...watched.keys()]) if (!keys.has(key)) stopProbing(key);
       servers
         .filter((server) => !watched.has(serverKeyOf(server)))
-        .forEach((server, index) => plan(server, (index * probeSpanUs) / Math.max(1, servers.length)));
+        .forEach((server, index) => scheduleProbe(server, (index * probeIntervalUs) / Math.max(1, servers.length)));
     },
-    close: () => [...watched.keys()].forEach(forget),
+    close: () => [...watched.keys()].forEach(stopProbing),
   };
 };
--- a/src/servers/source/list-reading.ts
+++ b/src/servers/source/list-reading.ts
@@ -1,7 +1,7 @@
-import type { ReadServer } from './read-server.js';
+import type { PolledServer } from './polled-server.js';
 
-/** What the platform answered when it was asked; whole when no page is missing. */
+/** The result of one poll of the platform's server list; `whole` if no page is missing. */
 export type ListReading = {
-  readonly servers: readonly ReadServer[];
+  readonly servers: readonly PolledServer[];
   readonly whole: boolean;
 };
--- a/src/servers/source/list-source.ts
+++ b/src/servers/source/list-source.ts
@@ -2,7 +2,7 @@
 import type { TypedError } from '../../common/typed-error.js';
 import type { ListReading } from './list-reading.js';
 
-/** Asks the platform for its list, all pages of it. */
+/** Reads all pages of the platform's server list. Left if the platform refuses or cannot be reached. */
 export type ListSource = {
   readonly read: () => Promise<Either<TypedError, ListReading>>;
 };
--- a/src/servers/source/read-server.ts
+++ b/src/servers/source/polled-server.ts
@@ -1,5 +1,5 @@
-/** One server as a reading shows it; the platform tells no times. */
-export type ReadServer = {
+/** One server as the platform returns it to a poll; without stamps, which the fleet adds. */
+export type PolledServer = {
   readonly id: string;
   readonly incarnation?: string;
   readonly service: string;
--- a/src/servers/source/source-event.ts
+++ b/src/servers/source/poller-event.ts
@@ -1,10 +1,12 @@
 import type { Micros } from '../../common/micros.js';
 import type { ErrorType } from '../../common/error-type.js';
 
-/** What the machine that asks hears. */
-export type SourceEvent =
+/** Input events of the poller election. */
+export type PollerEvent =
   | { readonly type: 'tick'; readonly at: Micros }
-  /** A partner told of a whole reading, which began `ageUs` ago. */
+  /** A peer reported a complete reading, which began `ageUs` ago. */
   | { readonly type: 'heard'; readonly at: Micros; readonly by: string; readonly ageUs: Micros }
+  /** This node's poll returned a complete reading. */
   | { readonly type: 'read'; readonly at: Micros }
+  /** This node's poll failed, or pages were missing. */
   | { readonly type: 'error'; readonly at: Micros; readonly error: ErrorType };
--- a/src/sim/fleet/sim-server.ts
+++ b/src/sim/fleet/sim-server.ts
@@ -5,7 +5,7 @@
 import type { History } from '../../rehearsal/history/history.js';
 import type { ServerFaultMode } from '../../rehearsal/stand-in/server-fault-mode.js';
 import { pieceText, readWorkText } from '../../rehearsal/stand-in/work-text.js';
-import type { ServerOrder } from '../../servers/link/server-order.js';
+import type { DeliveryRequest } from '../../servers/link/delivery-request.js';
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import type { World } from '../world/world.js';
 import type { SimServerListener } from './sim-server-listener.js';
@@ -15,7 +15,7 @@
   readonly listed: ListedServer;
   readonly isUp: () => boolean;
   readonly isDark: () => boolean;
-  readonly run: (order: ServerOrder, listener: SimServerListener) => void;
+  readonly run: (order: DeliveryRequest, listener: SimServerListener) => void;
   /** Does something as soon as the server is not dark. */
   readonly whenLight: (act: () => void) => void;
   /** Notes a link; it is told when the server crashes. */
--- a/src/sim/process/sim-dial.ts
+++ b/src/sim/process/sim-dial.ts
@@ -1,6 +1,6 @@
 import { Left, Right, type Either } from 'purify-ts';
 import { typedError, type TypedError } from '../../common/typed-error.js';
-import { confirmIdentity } from '../../servers/link/confirm-identity.js';
+import { verifyIdentity } from '../../servers/link/verify-identity.js';
 import type { Dial } from '../../servers/link/dial.js';
 import type { ServerLink } from '../../servers/link/server-link.js';
 import type { SimServer } from '../fleet/sim-server.js';
@@ -35,7 +35,7 @@
         const identity = JSON.stringify(reached.listed);
         const link = openSimServerLink(address, server, reached, life, world, network);
         back(() =>
-          confirmIdentity(server, identity).chain(() =>
+          verifyIdentity(server, identity).chain(() =>
             link.isOpen() ? Right(link) : Left(typedError('link-error', 'the link closed')),
           ),
         );
--- a/src/sim/process/sim-server-link.ts
+++ b/src/sim/process/sim-server-link.ts
@@ -2,7 +2,7 @@
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import { serverKeyOf } from '../../servers/list/server-key.js';
 import type { ServerLink } from '../../servers/link/server-link.js';
-import type { ServerReceipt } from '../../servers/link/server-receipt.js';
+import type { DeliveryResponse } from '../../servers/link/delivery-response.js';
 import type { SimServer } from '../fleet/sim-server.js';
 import { openChannel } from '../world/channel.js';
 import type { Network } from '../world/network.js';
@@ -38,7 +38,7 @@
     key: serverKeyOf(dialed),
     isOpen: () => isOpen,
     close,
-    confirm: () =>
+    probe: () =>
       new Promise((resolve) => {
         life.clock.after(confirmUs, () => resolve(false));
         closeEars.add(() => resolve(false));
@@ -47,7 +47,7 @@
         });
       }),
     deliver: (order, signal) =>
-      new Promise<ServerReceipt>((resolve, reject) => {
+      new Promise<DeliveryResponse>((resolve, reject) => {
         const body = openChunkQueue();
         const lost = (): void => {
           const error = new Error(typedError('link-error', 'the link was lost').message);
--- a/src/spread/frame/frame-guard.ts
+++ b/src/spread/frame/frame-guard.ts
@@ -4,7 +4,7 @@
 import { isCommand } from '../../control/wire/command-guard.js';
 import { isPlainMessage } from '../../control/wire/message-codec.js';
 import { isOutcome, isProposalOutcome } from '../../control/wire/outcome-guard.js';
-import { isAnyList } from '../../servers/list/check-asked-list.js';
+import { isServerList } from '../../servers/list/is-server-list.js';
 import { isRecordDelta, isSetupRecord } from '../../setup/check/setup-guard.js';
 import { isQuotaReplyFrame, isQuotaRequestFrame } from './quota-guard.js';
 import { isDigest } from './digest-guard.js';
@@ -42,7 +42,7 @@
   }),
   setup: object({ type: typed('setup'), record: mixed(isSetupRecord).required() }),
   'setup-delta': object({ type: typed('setup-delta'), delta: mixed(isRecordDelta).required() }),
-  list: object({ type: typed('list'), list: mixed(isAnyList).required() }),
+  list: object({ type: typed('list'), list: mixed(isServerList).required() }),
   control: object({
     type: typed('control'),
     identity: string().required(),
--- a/src/spread/frame/frame.ts
+++ b/src/spread/frame/frame.ts
@@ -4,12 +4,12 @@
 import type { PlainMessage } from '../../control/wire/message-codec.js';
 import type { FailureCause } from '../../decision/health/server-failures.js';
 import type { ServerLoad } from '../../decision/health/server-load.js';
-import type { AskedList } from '../../servers/list/asked-list.js';
+import type { PolledList } from '../../servers/list/polled-list.js';
 import type { ServerList } from '../../servers/list/server-list.js';
-import type { ReadMark } from '../../servers/source/read-mark.js';
+import type { ReadingStamp } from '../../servers/source/reading-stamp.js';
 import type { RecordBase, RecordDelta } from '../../setup/delta/record-delta.js';
 import type { SetupRecord } from '../../setup/document/setup-record.js';
-import type { QuotaReply, QuotaRequest } from '../../quota/quota-grant.js';
+import type { QuotaReply, QuotaRequest } from '../../quota/quota-messages.js';
 import type { MembershipUpdate } from '../peer/membership-update.js';
 import type { Peer } from '../peer/peer.js';
 
@@ -25,7 +25,7 @@
       /** The digest of the sender's server list; only polled lists have one. */
       readonly listDigest?: string;
       /** The stamp of the latest complete reading of the platform's list, or of the sender's own while that is recent. */
-      readonly read?: ReadMark;
+      readonly read?: ReadingStamp;
       /** A lower bound of the platform's time, as known to the sender. */
       readonly platformUs?: Micros;
       /** Membership updates: recent changes, or with `whole` all that the receiver may lack. */
@@ -58,7 +58,7 @@
   /** The difference from a configuration that the receiver holds to the newest one. */
   | { readonly type: 'setup-delta'; readonly delta: RecordDelta }
   /** The sender's server list; of a polled list perhaps only the entries that the receiver lacks. */
-  | { readonly type: 'list'; readonly list: ServerList | AskedList }
+  | { readonly type: 'list'; readonly list: ServerList | PolledList }
   /**
    * A Raft message. `to` is the identity of the addressed replica: a control node that restarts without its data at the
    * same address is another replica.
--- a/src/spread/frame/quota-guard.ts
+++ b/src/spread/frame/quota-guard.ts
@@ -1,4 +1,4 @@
-import type { QuotaReply, QuotaRequest } from '../../quota/quota-grant.js';
+import type { QuotaReply, QuotaRequest } from '../../quota/quota-messages.js';
 import type { Frame } from './frame.js';
 
 type QuotaRequestFrame = Extract<Frame, { readonly type: 'quota-request' }>;
--- a/src/spread/machine/digest.ts
+++ b/src/spread/machine/digest.ts
@@ -1,7 +1,7 @@
 import { boundAt } from '../../common/clock/time-bound.js';
-import { isAsked } from '../../servers/list/asked-list.js';
-import type { ReadMark } from '../../servers/source/read-mark.js';
-import { staleReadUs } from '../../servers/source/source-machine.js';
+import { isPolledList } from '../../servers/list/polled-list.js';
+import type { ReadingStamp } from '../../servers/source/reading-stamp.js';
+import { staleReadingUs } from '../../servers/source/poller-machine.js';
 import { bucketHashesOf, updatesForDifferingBuckets, updatesAbout } from './membership.js';
 import type { GossipEffect } from './gossip-effect.js';
 import type { GossipFrame } from './gossip-event.js';
@@ -30,12 +30,12 @@
 
 /** The digest of the server list; undefined if it has none. */
 export const listDigestOf = (view: GossipView): string | undefined =>
-  view.list !== undefined && isAsked(view.list) ? view.list.digest : undefined;
+  view.list !== undefined && isPolledList(view.list) ? view.list.digest : undefined;
 
 /** A poller sends its own stamp while that is recent, so that two concurrent pollers detect each other. */
-const readingStampToSend = (view: GossipView): ReadMark | undefined => {
+const readingStampToSend = (view: GossipView): ReadingStamp | undefined => {
   if (view.platform === undefined || view.ownReading === undefined) return view.read;
-  return boundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadUs ? view.ownReading : view.read;
+  return boundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadingUs ? view.ownReading : view.read;
 };
 
 /** Takes the least transmitted updates for one digest and decrements their remaining transmissions. */
--- a/src/spread/machine/gossip-view.ts
+++ b/src/spread/machine/gossip-view.ts
@@ -1,9 +1,9 @@
 import type { TimeBound } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
 import { emptyMap, type PersistentMap } from '../../common/persistent-map.js';
-import type { AskedList } from '../../servers/list/asked-list.js';
+import type { PolledList } from '../../servers/list/polled-list.js';
 import type { ServerList } from '../../servers/list/server-list.js';
-import type { ReadMark } from '../../servers/source/read-mark.js';
+import type { ReadingStamp } from '../../servers/source/reading-stamp.js';
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 import type { LivePeer } from '../peer/live-peer.js';
 import type { LostPeer } from '../peer/lost-peer.js';
@@ -21,13 +21,13 @@
   readonly record: SetupRecord | undefined;
   /** Earlier configurations, newest first; a peer that holds one of them receives a delta. */
   readonly formerRecords: readonly SetupRecord[];
-  readonly list: ServerList | AskedList | undefined;
+  readonly list: ServerList | PolledList | undefined;
   /** Earlier polled lists, newest first; a peer that holds one of them receives only the changed entries. */
-  readonly formerLists: readonly AskedList[];
+  readonly formerLists: readonly PolledList[];
   /** The stamp of the latest complete reading of any node. */
-  readonly read: ReadMark | undefined;
+  readonly read: ReadingStamp | undefined;
   /** The stamp of this node's own latest complete reading. */
-  readonly ownReading: ReadMark | undefined;
+  readonly ownReading: ReadingStamp | undefined;
   /** A lower bound of the platform's time. */
   readonly platform: TimeBound | undefined;
   /** Live and suspect peers, by address. */
--- a/src/spread/machine/list-dissemination.ts
+++ b/src/spread/machine/list-dissemination.ts
@@ -1,6 +1,6 @@
-import type { AskedList } from '../../servers/list/asked-list.js';
-import { isAsked } from '../../servers/list/asked-list.js';
-import { livingListOf } from '../../servers/list/living-list.js';
+import type { PolledList } from '../../servers/list/polled-list.js';
+import { isPolledList } from '../../servers/list/polled-list.js';
+import { liveListOf } from '../../servers/list/live-list.js';
 import { mergeLists } from '../../servers/list/merge-lists.js';
 import type { ServerList } from '../../servers/list/server-list.js';
 import { announceChange, pushDigests } from './announce.js';
@@ -13,16 +13,16 @@
 
 const maxFormerLists = 8;
 
-const putInForce = (view: GossipView, list: ServerList | AskedList, from?: string): GossipStep =>
+const putInForce = (view: GossipView, list: ServerList | PolledList, from?: string): GossipStep =>
   andThen(raisePlatformTime({ ...view, list }, list.atUs), (timedView) =>
-    announceChange(timedView, { type: 'list', list: livingListOf(list) }, from),
+    announceChange(timedView, { type: 'list', list: liveListOf(list) }, from),
   );
 
 /**
  * Adopts a merged list. Routing sees a list only when its version rises; a list that differs in its digest alone is only
  * pushed to peers, until all of them have merged it.
  */
-export const adoptMergedList = (view: GossipView, known: AskedList, list: AskedList, from?: string): GossipStep => {
+export const adoptMergedList = (view: GossipView, known: PolledList, list: PolledList, from?: string): GossipStep => {
   const mergedView = { ...view, formerLists: [known, ...view.formerLists].slice(0, maxFormerLists) };
   return list.version > known.version
     ? putInForce(mergedView, list, from)
@@ -33,14 +33,14 @@
  * Adopts a list if it is newer. A pushed list, from the platform, replaces an older version; polled lists are merged,
  * and ignored once a pushed one is known.
  */
-export const adoptList = (view: GossipView, list: ServerList | AskedList, from?: string): GossipStep => {
+export const adoptList = (view: GossipView, list: ServerList | PolledList, from?: string): GossipStep => {
   const known = view.list;
-  if (!isAsked(list)) {
-    const isNewer = known === undefined || isAsked(known) || list.version > known.version;
+  if (!isPolledList(list)) {
+    const isNewer = known === undefined || isPolledList(known) || list.version > known.version;
     return isNewer ? putInForce({ ...view, formerLists: [] }, list, from) : withEffects(view);
   }
   if (known === undefined) return putInForce(view, mergeLists(list, list), from);
-  if (!isAsked(known)) return withEffects(view);
+  if (!isPolledList(known)) return withEffects(view);
   const merged = mergeLists(known, list);
   return merged.digest === known.digest && merged.version === known.version
     ? withEffects(view)
@@ -48,7 +48,7 @@
 };
 
 /** The polled list reduced to the entries that a former one lacks; merging it into that one gives the same result. */
-const changesSince = (list: AskedList, former: AskedList): AskedList => {
+const changesSince = (list: PolledList, former: PolledList): PolledList => {
   const formerDigests = new Set(former.servers.map((server) => JSON.stringify(server)));
   return { ...list, servers: list.servers.filter((server) => !formerDigests.has(JSON.stringify(server))) };
 };
@@ -58,10 +58,10 @@
   view: GossipView,
   version: number,
   listDigest: string | undefined,
-): ServerList | AskedList | undefined => {
+): ServerList | PolledList | undefined => {
   const { list } = view;
   if (list === undefined) return undefined;
-  if (!isAsked(list)) return listDigest !== undefined || version < list.version ? list : undefined;
+  if (!isPolledList(list)) return listDigest !== undefined || version < list.version ? list : undefined;
   if (listDigest === undefined) return version < list.version ? list : undefined;
   if (listDigest === list.digest && version >= list.version) return undefined;
   const former = view.formerLists.find(({ digest }) => digest === listDigest);
--- a/src/spread/machine/reading.ts
+++ b/src/spread/machine/reading.ts
@@ -1,10 +1,10 @@
 import { boundAt } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
-import { isAsked } from '../../servers/list/asked-list.js';
-import { foldReading } from '../../servers/source/fold-reading.js';
+import { isPolledList } from '../../servers/list/polled-list.js';
+import { applyReading } from '../../servers/source/apply-reading.js';
 import type { ListReading } from '../../servers/source/list-reading.js';
-import type { ReadMark } from '../../servers/source/read-mark.js';
-import { laterMark, readerKeyOf } from '../../servers/source/read-mark.js';
+import type { ReadingStamp } from '../../servers/source/reading-stamp.js';
+import { laterStamp, pollerKeyOf } from '../../servers/source/reading-stamp.js';
 import { pushReadingStamp } from './announce.js';
 import { adoptList } from './list-dissemination.js';
 import type { GossipStep } from './gossip-step.js';
@@ -29,15 +29,15 @@
  * line starts here.
  */
 export const onReading = (view: GossipView, reading: ListReading, begunAt: Micros): GossipStep => {
-  if (view.list !== undefined && !isAsked(view.list)) return withEffects(view);
+  if (view.list !== undefined && !isPolledList(view.list)) return withEffects(view);
   const platform = view.platform ?? { reachedUs: timelineOriginUs, atUs: view.atUs };
   const nowUs = boundAt(platform, view.atUs);
   const begunUs = Math.max(0, nowUs - Math.max(0, view.atUs - begunAt));
-  const stamp: ReadMark = { atUs: begunUs, by: readerKeyOf(view.self) };
+  const stamp: ReadingStamp = { atUs: begunUs, by: pollerKeyOf(view.self) };
   const readView = reading.whole
-    ? { ...view, platform, ownReading: stamp, read: laterMark(view.read, stamp) }
+    ? { ...view, platform, ownReading: stamp, read: laterStamp(view.read, stamp) }
     : { ...view, platform };
-  const list = foldReading(view.list, reading, nowUs, begunUs);
+  const list = applyReading(view.list, reading, nowUs, begunUs);
   return andThen(
     view.platform === undefined ? withEffects(readView, { type: 'time', platformUs: nowUs }) : withEffects(readView),
     (timedView) =>
@@ -48,12 +48,12 @@
 };
 
 /** Applies a peer's reading stamp, and relays it if it is due. */
-export const adoptReadingStamp = (view: GossipView, read: ReadMark | undefined, from: string): GossipStep =>
-  read === undefined || view.platform === undefined || read.by === readerKeyOf(view.self)
+export const adoptReadingStamp = (view: GossipView, read: ReadingStamp | undefined, from: string): GossipStep =>
+  read === undefined || view.platform === undefined || read.by === pollerKeyOf(view.self)
     ? withEffects(view)
     : andThen(
         withEffects(
-          { ...view, read: laterMark(view.read, read) },
+          { ...view, read: laterStamp(view.read, read) },
           { type: 'read', by: read.by, ageUs: Math.max(0, boundAt(view.platform, view.atUs) - read.atUs) },
         ),
         (readView) => pushIfLarge(readView, from),
--- a/tests/platform/connection-states.test.ts
+++ b/tests/platform/connection-states.test.ts
@@ -7,7 +7,7 @@
 import { steadyClock } from '../../src/common/clock/steady-clock.js';
 import { within } from '../../src/common/clock/within.js';
 import type { Micros } from '../../src/common/micros.js';
-import type { Carriage } from '../../src/servers/link/carriage.js';
+import type { ForwardHandle } from '../../src/servers/link/forward-handle.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
 import { listedAt } from '../router/loopback.js';
 import { carried, orderOf, type Carried } from './raw/carried.js';
@@ -90,7 +90,7 @@
 };
 
 /** Stops reading, and goes on after a while. */
-const readLate = (carriage: Carriage): void => {
+const readLate = (carriage: ForwardHandle): void => {
   carriage.pause();
   void paused(steadyClock, pausedUs).then(carriage.resume);
 };
@@ -210,7 +210,7 @@
     })();
   });
   const link = (await dialServer({ ...listedAt('i-1', 'readers', 1), address: server.address })).unsafeCoerce();
-  const readInTurns = (carriage: Carriage): void => {
+  const readInTurns = (carriage: ForwardHandle): void => {
     void (async () => {
       for (const pauseMs of pauses) {
         carriage.pause();
--- a/tests/platform/raw/carried.ts
+++ b/tests/platform/raw/carried.ts
@@ -1,12 +1,12 @@
-import type { CarriedHead } from '../../../src/servers/link/carried-head.js';
+import type { OpaqueResponseHead } from '../../../src/servers/link/opaque-response-head.js';
 import type { ServerLink } from '../../../src/servers/link/server-link.js';
-import type { Carriage } from '../../../src/servers/link/carriage.js';
+import type { ForwardHandle } from '../../../src/servers/link/forward-handle.js';
 import type { OpaqueExchange } from '../../../src/router/opaque/opaque-exchange.js';
-import type { OpaqueOrder } from '../../../src/servers/link/opaque-order.js';
+import type { OpaqueRequest } from '../../../src/servers/link/opaque-request.js';
 
 /** What a link told of an exchange. */
 export type Carried = {
-  readonly head: CarriedHead | undefined;
+  readonly head: OpaqueResponseHead | undefined;
   readonly pieces: readonly (readonly [string, number | undefined])[];
   readonly text: string;
   readonly ending: string;
@@ -28,7 +28,7 @@
   ...more,
 });
 
-export const orderOf = (name: string, more: Partial<OpaqueOrder> = {}): OpaqueOrder => ({
+export const orderOf = (name: string, more: Partial<OpaqueRequest> = {}): OpaqueRequest => ({
   exchange: exchangeOf(name),
   budgetUs: 1_234_567,
   afterPiece: undefined,
@@ -39,16 +39,16 @@
 /** Carries one exchange to its last word; `begun` gets the carriage, `receiving` the same with the first bytes of the body. */
 export const carried = (
   link: ServerLink,
-  order: OpaqueOrder,
-  begun: (carriage: Carriage) => void = () => undefined,
-  receiving: (carriage: Carriage) => void = () => undefined,
+  order: OpaqueRequest,
+  begun: (carriage: ForwardHandle) => void = () => undefined,
+  receiving: (carriage: ForwardHandle) => void = () => undefined,
 ): Promise<Carried> =>
   new Promise((resolve, reject) => {
-    if (link.carry === undefined) {
+    if (link.forward === undefined) {
       reject(new Error('the link carries nothing'));
       return;
     }
-    let head: CarriedHead | undefined;
+    let head: OpaqueResponseHead | undefined;
     const pieces: (readonly [string, number | undefined])[] = [];
     const words: string[] = [];
     const end = (ending: string): void => {
@@ -57,7 +57,7 @@
         resolve({ head, pieces, text: pieces.map(([text]) => text).join(''), ending: words.join(' then ') }),
       );
     };
-    const carriage = link.carry(order, {
+    const carriage = link.forward(order, {
       head: (given) => {
         head = given;
       },
--- a/tests/platform/server-link.test.ts
+++ b/tests/platform/server-link.test.ts
@@ -231,7 +231,7 @@
     () => undefined,
     async (link, server) => {
       let words = 0;
-      const carriage = link.carry?.(orderOf('a'), {
+      const carriage = link.forward?.(orderOf('a'), {
         head: () => (words += 1),
         piece: () => (words += 1),
         end: () => (words += 1),
--- a/tests/quota/quota-fleet.ts
+++ b/tests/quota/quota-fleet.ts
@@ -2,35 +2,36 @@
 import type { Tenant } from '../../src/setup/document/tenant.js';
 import type { QuotaTolerance } from '../../src/quota/quota-tolerance.js';
 import type { QuotaReserveEvent } from '../../src/quota/reserve/quota-reserve-event.js';
-import { startQuotaReserve, type QuotaReserveState } from '../../src/quota/reserve/quota-reserve-state.js';
+import { initialQuotaReserve, type QuotaReserveState } from '../../src/quota/reserve/quota-reserve-state.js';
 import { stepQuotaReserve } from '../../src/quota/reserve/step-quota-reserve.js';
-import { startQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
+import { initialQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
 import { stepQuotaStore } from '../../src/quota/store/step-quota-store.js';
 
-/** What clients of one tenant send. */
+/** Traffic of one tenant's clients: Poisson arrivals with exponentially distributed costs (fixed if `meanCost` is 1). */
 export type TenantLoad = {
   readonly tenant: Tenant;
   readonly requestsPerSecond: number;
   readonly meanCost: number;
-  /** From a moment on it sends so many times as much. */
+  /** An interval in which the request rate is multiplied by `times`. */
   readonly flood?: { readonly fromUs: Micros; readonly untilUs: Micros; readonly times: number };
 };
 
-/** Something that goes wrong at a moment. */
+/** A fault, or a change of limits, injected at `atUs`. */
 export type QuotaFault =
-  /** A store loses all that it knows and is back after a while. */
+  /** A store is down for `downUs` and restarts without its state. */
   | { readonly type: 'restart'; readonly atUs: Micros; readonly store: number; readonly downUs: Micros }
-  /** A store answers nobody for a while, or says that it may not grant. */
+  /** A store does not reply, or replies `unavailable`, for `forUs`. */
   | {
       readonly type: 'silent' | 'unavailable';
       readonly atUs: Micros;
       readonly store: number;
       readonly forUs: Micros;
     }
-  /** A part of the routers reach no store for a while. */
+  /** A fraction of the routers reaches no store for `forUs`. */
   | { readonly type: 'cut'; readonly atUs: Micros; readonly part: number; readonly forUs: Micros }
-  /** A router hears nothing and does nothing for a while; what came meanwhile is taken afterwards. */
+  /** A router stops for `forUs`; events of that time are processed afterwards. */
   | { readonly type: 'freeze'; readonly atUs: Micros; readonly router: number; readonly forUs: Micros }
+  /** The tenants' quotas change; each store applies the change within a second. */
   | { readonly type: 'limits'; readonly atUs: Micros; readonly tenants: readonly Tenant[] };
 
 export type QuotaFleetPlan = {
@@ -41,32 +42,32 @@
   readonly loads: readonly TenantLoad[];
   readonly faults: readonly QuotaFault[];
   readonly untilUs: Micros;
-  /** Clients arrive from here on. */
+  /** When client traffic starts. */
   readonly fromUs: Micros;
 };
 
-/** A request that reached a server, and when. */
+/** An admitted request that reached a server at `atUs`. */
 export type Arrival = { readonly tenant: string; readonly cost: number; readonly atUs: Micros };
 
-/** A request that was refused. */
 export type Rejection = { readonly tenant: string; readonly cost: number; readonly cause: string };
 
 export type QuotaFleetHistory = {
   readonly arrivals: readonly Arrival[];
   readonly admitted: Readonly<Record<'local' | 'store' | 'credit', number>>;
   readonly rejected: readonly Rejection[];
+  /** Number of quota requests sent to stores. */
   readonly asks: number;
-  /** The longest time from a request to its answer. */
+  /** Longest time from a request to its admission or rejection. */
   readonly longestWaitUs: Micros;
 };
 
-type Happening = { readonly atUs: Micros; readonly order: number; readonly act: () => void };
+type ScheduledEvent = { readonly atUs: Micros; readonly order: number; readonly act: () => void };
 
-/** A queue of happenings by time, then by the order in which they were planned. */
-const openAgenda = () => {
-  const heap: Happening[] = [];
-  let planned = 0;
-  const isBefore = (left: Happening, right: Happening): boolean =>
+/** Priority queue (binary heap) of scheduled events, by time, then by order of scheduling. */
+const createEventQueue = () => {
+  const heap: ScheduledEvent[] = [];
+  let scheduledCount = 0;
+  const isBefore = (left: ScheduledEvent, right: ScheduledEvent): boolean =>
     left.atUs < right.atUs || (left.atUs === right.atUs && left.order < right.order);
   const swap = (one: number, other: number): void => {
     const [first, second] = [heap[one], heap[other]];
@@ -74,33 +75,33 @@
     heap[one] = second;
     heap[other] = first;
   };
-  const isOut = (parent: number, child: number): boolean => {
+  const isOutOfOrder = (parent: number, child: number): boolean => {
     const [above, below] = [heap[parent], heap[child]];
     return above !== undefined && below !== undefined && isBefore(below, above);
   };
   return {
     plan: (atUs: Micros, act: () => void): void => {
-      heap.push({ atUs, order: planned, act });
-      planned += 1;
-      for (let place = heap.length - 1; place > 0;) {
-        const parent = (place - 1) >> 1;
-        if (!isOut(parent, place)) break;
-        swap(parent, place);
-        place = parent;
+      heap.push({ atUs, order: scheduledCount, act });
+      scheduledCount += 1;
+      for (let index = heap.length - 1; index > 0;) {
+        const parent = (index - 1) >> 1;
+        if (!isOutOfOrder(parent, index)) break;
+        swap(parent, index);
+        index = parent;
       }
     },
-    next: (): Happening | undefined => {
+    next: (): ScheduledEvent | undefined => {
       const [first] = heap;
       const last = heap.pop();
       if (first === undefined || last === undefined || heap.length === 0) return first;
       heap[0] = last;
-      for (let place = 0; ;) {
-        const children = [2 * place + 1, 2 * place + 2].filter((child) => isOut(place, child));
+      for (let index = 0; ;) {
+        const children = [2 * index + 1, 2 * index + 2].filter((child) => isOutOfOrder(index, child));
         const [one, other] = children;
         if (one === undefined) break;
-        const least = other !== undefined && isOut(one, other) ? other : one;
-        swap(place, least);
-        place = least;
+        const least = other !== undefined && isOutOfOrder(one, other) ? other : one;
+        swap(index, least);
+        index = least;
       }
       return first;
     },
@@ -109,8 +110,8 @@
 
 const secondUs = 1_000_000;
 
-/** Numbers from 0 to 1 that depend on the seed alone. */
-export const drawsOf = (seed: number): (() => number) => {
+/** A deterministic pseudo-random generator (xorshift) of numbers in [0, 1). */
+export const seededRandom = (seed: number): (() => number) => {
   let state = (seed * 2654435761) % 4294967296 || 1;
   return () => {
     state ^= state << 13;
@@ -120,17 +121,17 @@
   };
 };
 
-/** Plays routers and stores, each one the pure machine of the product, on a network that delays, loses and cuts. */
-export const playQuotaFleet = (plan: QuotaFleetPlan): QuotaFleetHistory => {
-  const draw = drawsOf(plan.seed);
-  const agenda = openAgenda();
-  const storeNames = Array.from({ length: plan.stores }, (_, place) => `store-${place}`);
-  const stores: QuotaStoreState[] = storeNames.map(() => startQuotaStore(0));
-  const lives = storeNames.map(() => 0);
+/** Simulates routers and stores, each running the production state machine, on a network with delay, loss and partitions. */
+export const simulateQuotaFleet = (plan: QuotaFleetPlan): QuotaFleetHistory => {
+  const draw = seededRandom(plan.seed);
+  const queue = createEventQueue();
+  const storeNames = Array.from({ length: plan.stores }, (_, index) => `store-${index}`);
+  const stores: QuotaStoreState[] = storeNames.map(() => initialQuotaStore(0));
+  const incarnations = storeNames.map(() => 0);
   const silentUntil = storeNames.map(() => 0);
   const unavailableUntil = storeNames.map(() => 0);
-  const routers: QuotaReserveState[] = Array.from({ length: plan.routers }, (_, place) =>
-    startQuotaReserve(`router-${place}`),
+  const routers: QuotaReserveState[] = Array.from({ length: plan.routers }, (_, index) =>
+    initialQuotaReserve(`router-${index}`),
   );
   const frozenUntil = routers.map(() => 0);
   const cutUntil = routers.map(() => 0);
@@ -143,10 +144,10 @@
   let nowUs = 0;
   let tenants: readonly Tenant[] = plan.loads.map(({ tenant }) => tenant);
 
-  const configure = (place: number): void => {
-    const state = stores[place];
+  const configure = (index: number): void => {
+    const state = stores[index];
     if (state === undefined) return;
-    stores[place] = stepQuotaStore(state, {
+    stores[index] = stepQuotaStore(state, {
       type: 'configured',
       at: nowUs,
       tenants,
@@ -161,18 +162,18 @@
   };
   const isLost = (): boolean => draw() < 0.002;
 
-  const answered = (request: string): Micros => {
-    const made = costs.get(request);
+  const settleRequest = (request: string): Micros => {
+    const sent = costs.get(request);
     costs.delete(request);
-    const waitUs = nowUs - (made?.sinceUs ?? nowUs);
+    const waitUs = nowUs - (sent?.sinceUs ?? nowUs);
     longestWaitUs = Math.max(longestWaitUs, waitUs);
     return waitUs;
   };
 
-  const hear = (router: number, event: QuotaReserveEvent): void => {
+  const deliverToRouter = (router: number, event: QuotaReserveEvent): void => {
     const frozenUs = frozenUntil[router] ?? 0;
     if (frozenUs > nowUs) {
-      agenda.plan(frozenUs, () => hear(router, { ...event, at: nowUs }));
+      queue.plan(frozenUs, () => deliverToRouter(router, { ...event, at: nowUs }));
       return;
     }
     const state = routers[router];
@@ -181,51 +182,52 @@
     routers[router] = step.state;
     for (const effect of step.effects) {
       if (effect.type === 'admit') {
-        const made = costs.get(effect.request);
-        answered(effect.request);
+        const sent = costs.get(effect.request);
+        settleRequest(effect.request);
         admitted[effect.source] += 1;
-        if (made !== undefined)
-          agenda.plan(nowUs + (draw() < 0.1 ? draw() * 400_000 : 3_000), () =>
-            arrivals.push({ tenant: made.tenant, cost: made.cost, atUs: nowUs }),
+        if (sent !== undefined)
+          queue.plan(nowUs + (draw() < 0.1 ? draw() * 400_000 : 3_000), () =>
+            arrivals.push({ tenant: sent.tenant, cost: sent.cost, atUs: nowUs }),
           );
       } else if (effect.type === 'reject') {
-        const made = costs.get(effect.request);
-        answered(effect.request);
-        if (made !== undefined) rejected.push({ tenant: made.tenant, cost: made.cost, cause: effect.cause });
+        const sent = costs.get(effect.request);
+        settleRequest(effect.request);
+        if (sent !== undefined) rejected.push({ tenant: sent.tenant, cost: sent.cost, cause: effect.cause });
       } else {
         asks += 1;
-        const place = storeNames.indexOf(effect.store);
+        const index = storeNames.indexOf(effect.store);
         const isCut = (cutUntil[router] ?? 0) > nowUs;
         if (isCut || isLost()) continue;
-        const life = lives[place];
-        agenda.plan(nowUs + delayUs(), () => {
-          const store = stores[place];
-          if (store === undefined || lives[place] !== life || (silentUntil[place] ?? 0) > nowUs) return;
-          const isUnavailable = (unavailableUntil[place] ?? 0) > nowUs;
-          const told = isUnavailable
+        const incarnation = incarnations[index];
+        queue.plan(nowUs + delayUs(), () => {
+          const store = stores[index];
+          if (store === undefined || incarnations[index] !== incarnation || (silentUntil[index] ?? 0) > nowUs) return;
+          const isUnavailable = (unavailableUntil[index] ?? 0) > nowUs;
+          const storeStep = isUnavailable
             ? undefined
             : stepQuotaStore(store, { type: 'request', at: nowUs, request: effect.request });
-          if (told !== undefined) stores[place] = told.state;
-          const reply = told?.reply ?? ({ type: 'unavailable' } as const);
+          if (storeStep !== undefined) stores[index] = storeStep.state;
+          const reply = storeStep?.reply ?? ({ type: 'unavailable' } as const);
           if (isLost()) return;
-          agenda.plan(nowUs + delayUs(), () => {
-            if ((cutUntil[router] ?? 0) <= nowUs) hear(router, { type: 'reply', at: nowUs, ask: effect.ask, reply });
+          queue.plan(nowUs + delayUs(), () => {
+            if ((cutUntil[router] ?? 0) <= nowUs)
+              deliverToRouter(router, { type: 'reply', at: nowUs, ask: effect.ask, reply });
           });
         });
       }
     }
     const wakeUs = routers[router]?.wakeUs ?? Number.POSITIVE_INFINITY;
     if (Number.isFinite(wakeUs))
-      agenda.plan(Math.max(nowUs + 100, wakeUs), () => hear(router, { type: 'tick', at: nowUs }));
+      queue.plan(Math.max(nowUs + 100, wakeUs), () => deliverToRouter(router, { type: 'tick', at: nowUs }));
   };
 
-  const strike = (fault: QuotaFault): void => {
+  const injectFault = (fault: QuotaFault): void => {
     switch (fault.type) {
       case 'restart':
-        lives[fault.store] = (lives[fault.store] ?? 0) + 1;
+        incarnations[fault.store] = (incarnations[fault.store] ?? 0) + 1;
         silentUntil[fault.store] = nowUs + fault.downUs;
-        agenda.plan(nowUs + fault.downUs, () => {
-          stores[fault.store] = startQuotaStore(nowUs);
+        queue.plan(nowUs + fault.downUs, () => {
+          stores[fault.store] = initialQuotaStore(nowUs);
           configure(fault.store);
         });
         return;
@@ -243,7 +245,7 @@
         return;
       case 'limits':
         tenants = fault.tenants;
-        storeNames.forEach((_name, place) => agenda.plan(nowUs + draw() * 1_000_000, () => configure(place)));
+        storeNames.forEach((_name, index) => queue.plan(nowUs + draw() * 1_000_000, () => configure(index)));
     }
   };
 
@@ -254,23 +256,23 @@
     const cost = Math.max(1, Math.round(load.meanCost === 1 ? 1 : load.meanCost * -Math.log(1 - draw() * 0.999)));
     costs.set(request, { tenant: load.tenant.name, cost, sinceUs: nowUs });
     const router = Math.floor(draw() * plan.routers);
-    hear(router, { type: 'request', at: nowUs, request, tenant: load.tenant.name, cost });
+    deliverToRouter(router, { type: 'request', at: nowUs, request, tenant: load.tenant.name, cost });
     const gapUs = (-Math.log(1 - draw()) * secondUs) / (load.requestsPerSecond * times);
-    if (nowUs + gapUs < plan.untilUs) agenda.plan(nowUs + gapUs, () => send(load, count + 1));
+    if (nowUs + gapUs < plan.untilUs) queue.plan(nowUs + gapUs, () => send(load, count + 1));
   };
 
-  storeNames.forEach((_name, place) => configure(place));
-  routers.forEach((_state, router) => hear(router, { type: 'stores', at: 0, stores: storeNames }));
-  for (const load of plan.loads) agenda.plan(plan.fromUs + draw() * 100_000, () => send(load, 0));
-  for (const fault of plan.faults) agenda.plan(fault.atUs, () => strike(fault));
-  for (let next = agenda.next(); next !== undefined; next = agenda.next()) {
+  storeNames.forEach((_name, index) => configure(index));
+  routers.forEach((_state, router) => deliverToRouter(router, { type: 'stores', at: 0, stores: storeNames }));
+  for (const load of plan.loads) queue.plan(plan.fromUs + draw() * 100_000, () => send(load, 0));
+  for (const fault of plan.faults) queue.plan(fault.atUs, () => injectFault(fault));
+  for (let next = queue.next(); next !== undefined; next = queue.next()) {
     nowUs = Math.max(nowUs, next.atUs);
     next.act();
   }
   return { arrivals, admitted, rejected, asks, longestWaitUs };
 };
 
-/** By how much the use of some tenant exceeds what any window allows, at most; 0 or less where none does. */
+/** The largest excess of any tenant's use over its limit in any sliding window; 0 or less if no limit is exceeded. */
 export const worstExcess = (
   arrivals: readonly Arrival[],
   limitOf: (tenant: string) => number,
--- a/tests/quota/quota-store.test.ts
+++ b/tests/quota/quota-store.test.ts
@@ -2,9 +2,9 @@
 import * as assert from 'uvu/assert';
 import { startReplica, type Replica } from '../../src/control/machine/replica.js';
 import { grantLeaseUs, mayGrant } from '../../src/process/control/quota-store-task.js';
-import { wholeBucketOf } from '../../src/quota/bucket-share.js';
-import type { QuotaReply } from '../../src/quota/quota-grant.js';
-import { startQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
+import { fleetBucketLimitsOf } from '../../src/quota/bucket-share.js';
+import type { QuotaReply } from '../../src/quota/quota-messages.js';
+import { initialQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
 import { stepQuotaStore } from '../../src/quota/store/step-quota-store.js';
 import { freeHold, openQuotaHold } from '../../src/router/exchange/quota-hold.js';
 import { quotaCostOf } from '../../src/router/access/quota-cost.js';
@@ -20,10 +20,10 @@
   quota: { unit: 'tokens', ratePerSecond, burst: ratePerSecond, defaultTokens: 0 },
 });
 
-const configured = (state: QuotaStoreState, at: number, tenants: readonly Tenant[]): QuotaStoreState =>
+const configuredStore = (state: QuotaStoreState, at: number, tenants: readonly Tenant[]): QuotaStoreState =>
   stepQuotaStore(state, { type: 'configured', at, tenants, tolerance, shares: 5 }).state;
 
-const asked = (
+const requestTokens = (
   state: QuotaStoreState,
   at: number,
   needed: number,
@@ -39,46 +39,46 @@
   return { state: step.state, reply };
 };
 
-test('a store that begins knows of nothing that was granted before, and fills from empty', () => {
-  const state = configured(startQuotaStore(10 * second), 11 * second, [tenantOf('a', 50_000)]);
-  const first = asked(state, 11 * second, 10_000);
-  assert.is(first.reply.type, 'granted', 'a second of its share of the rate has come in');
-  assert.is(asked(first.state, 11 * second, 10_000).reply.type, 'exhausted');
-  assert.is(asked(first.state, 13 * second, 10_000).reply.type, 'granted');
+test('buckets of a restarted store fill from empty, since their tokens may have been granted before the restart', () => {
+  const state = configuredStore(initialQuotaStore(10 * second), 11 * second, [tenantOf('a', 50_000)]);
+  const first = requestTokens(state, 11 * second, 10_000);
+  assert.is(first.reply.type, 'granted', 'one second of its share of the rate has been refilled');
+  assert.is(requestTokens(first.state, 11 * second, 10_000).reply.type, 'exhausted');
+  assert.is(requestTokens(first.state, 13 * second, 10_000).reply.type, 'granted');
 });
 
-test('a tenant that is added later begins full, one that is known keeps what it has', () => {
-  const begun = configured(startQuotaStore(0), 0, [tenantOf('a', 50_000)]);
-  const later = configured(begun, 0, [tenantOf('a', 50_000), tenantOf('b', 50_000)]);
-  assert.is(asked(later, 0, 15_000, { tenant: 'b' }).reply.type, 'granted');
-  assert.is(asked(later, 0, 15_000).reply.type, 'exhausted');
+test('the bucket of an added tenant starts full, that of a known tenant keeps its level', () => {
+  const initial = configuredStore(initialQuotaStore(0), 0, [tenantOf('a', 50_000)]);
+  const later = configuredStore(initial, 0, [tenantOf('a', 50_000), tenantOf('b', 50_000)]);
+  assert.is(requestTokens(later, 0, 15_000, { tenant: 'b' }).reply.type, 'granted');
+  assert.is(requestTokens(later, 0, 15_000).reply.type, 'exhausted');
 });
 
-test('a lower limit cuts what is there at once', () => {
-  const full = configured(startQuotaStore(0), 60 * second, [tenantOf('a', 500_000)]);
-  const lowered = configured(full, 60 * second, [tenantOf('a', 5_000)]);
-  const { capacity } = wholeBucketOf(
+test('a lowered limit caps the level of the bucket at once', () => {
+  const full = configuredStore(initialQuotaStore(0), 60 * second, [tenantOf('a', 500_000)]);
+  const lowered = configuredStore(full, 60 * second, [tenantOf('a', 5_000)]);
+  const { capacity } = fleetBucketLimitsOf(
     { unit: 'tokens', ratePerSecond: 5_000, burst: 5_000, defaultTokens: 0 },
     tolerance,
   );
-  assert.is(asked(lowered, 60 * second, Math.ceil(capacity / 5) + 1).reply.type, 'exhausted');
+  assert.is(requestTokens(lowered, 60 * second, Math.ceil(capacity / 5) + 1).reply.type, 'exhausted');
 });
 
-test('a part is given only to a router that takes one, and never more than is there', () => {
-  const state = configured(startQuotaStore(0), second, [tenantOf('a', 50_000)]);
-  const none = asked(state, second, 20_000);
+test('a partial grant is made only on request, and never exceeds the level of the bucket', () => {
+  const state = configuredStore(initialQuotaStore(0), second, [tenantOf('a', 50_000)]);
+  const none = requestTokens(state, second, 20_000);
   assert.equal(none.reply, { type: 'exhausted', tokens: 0, left: 10_000, retryAfterUs: second });
-  const part = asked(state, second, 20_000, { takesPart: true });
+  const part = requestTokens(state, second, 20_000, { takesPart: true });
   assert.equal(part.reply, { type: 'exhausted', tokens: 10_000, left: 0, retryAfterUs: second });
 });
 
-test('a tenant that is not known is for another store to answer, one without a quota is granted', () => {
-  const state = configured(startQuotaStore(0), 0, [{ name: 'free', keys: [] }]);
-  assert.is(asked(state, 0, 5, { tenant: 'nobody' }).reply.type, 'unavailable');
-  assert.equal(asked(state, 0, 5, { tenant: 'free' }).reply, { type: 'granted', tokens: 5 });
+test('a store replies unavailable for an unknown tenant, and grants to a tenant without a quota', () => {
+  const state = configuredStore(initialQuotaStore(0), 0, [{ name: 'free', keys: [] }]);
+  assert.is(requestTokens(state, 0, 5, { tenant: 'nobody' }).reply.type, 'unavailable');
+  assert.equal(requestTokens(state, 0, 5, { tenant: 'free' }).reply, { type: 'granted', tokens: 5 });
 });
 
-test('only a voter that leads or has heard its leader within the lease grants', () => {
+test('only a leader, or a voter with leader contact within the lease, may grant', () => {
   const member = { identity: 'me', address: 'a:1', voter: true };
   const replica: Replica = {
     ...startReplica('me', 'a:1', []),
@@ -94,33 +94,33 @@
   assert.not.ok(mayGrant(learner, 5 * second));
 });
 
-test('a request pays once for each try that may have run, and gets back what it did not use', () => {
-  const told: string[] = [];
+test('a request is charged for each attempt that may have run, and refunded if none was sent', () => {
+  const calls: string[] = [];
   const account = {
-    refund: (tenant: string, tokens: number) => void told.push(`refund ${tenant} ${tokens}`),
-    charge: (tenant: string, tokens: number) => void told.push(`charge ${tenant} ${tokens}`),
+    refund: (tenant: string, tokens: number) => void calls.push(`refund ${tenant} ${tokens}`),
+    charge: (tenant: string, tokens: number) => void calls.push(`charge ${tenant} ${tokens}`),
   };
   const facts = { tenant: 'a', cost: 7, source: 'local' };
   const unsent = openQuotaHold(account, facts);
   unsent.end();
   unsent.end();
-  assert.equal(told.splice(0), ['refund a 7']);
+  assert.equal(calls.splice(0), ['refund a 7']);
   const turnedAway = openQuotaHold(account, facts);
   turnedAway.sent();
   turnedAway.notRun();
   turnedAway.sent();
   turnedAway.end();
-  assert.equal(told.splice(0), []);
-  const again = openQuotaHold(account, facts);
-  again.sent();
-  again.sent();
-  again.end();
-  assert.equal(told.splice(0), ['charge a 7']);
+  assert.equal(calls.splice(0), []);
+  const retried = openQuotaHold(account, facts);
+  retried.sent();
+  retried.sent();
+  retried.end();
+  assert.equal(calls.splice(0), ['charge a 7']);
   freeHold.sent();
   freeHold.end();
 });
 
-test('a request counts one, or its tokens, or what stands for them', () => {
+test('the cost of a request is one, or its tokens, or the default tokens if their number is unknown', () => {
   const quota = { ratePerSecond: 1, burst: 1, defaultTokens: 200 };
   assert.is(quotaCostOf({ ...quota, unit: 'requests' }, 5_000), 1);
   assert.is(quotaCostOf({ ...quota, unit: 'tokens' }, 5_000), 5_000);
@@ -128,7 +128,7 @@
   assert.is(quotaCostOf({ ...quota, unit: 'tokens' }, undefined), 200);
 });
 
-test('frames between routers and stores are taken in whole form only', () => {
+test('quota frames with missing or invalid fields are rejected', () => {
   const request = { tenant: 'a', needed: 5, wanted: 9, takesPart: false };
   assert.ok(isFrame({ type: 'quota-request', ask: 3, request }));
   assert.not.ok(isFrame({ type: 'quota-request', ask: 3, request: { ...request, needed: -1 } }));
--- a/tests/router/carry.test.ts
+++ b/tests/router/carry.test.ts
@@ -6,8 +6,8 @@
 import type { DeliveryEnd } from '../../src/router/delivery/delivery-end.js';
 import type { Continuation } from '../../src/router/exchange/continuation.js';
 import type { OpaqueExchange } from '../../src/router/opaque/opaque-exchange.js';
-import type { CarriedHead } from '../../src/servers/link/carried-head.js';
-import type { CarryListener } from '../../src/servers/link/carry-listener.js';
+import type { OpaqueResponseHead } from '../../src/servers/link/opaque-response-head.js';
+import type { OpaqueResponseListener } from '../../src/servers/link/opaque-response-listener.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
 import { freeHold } from '../../src/router/exchange/quota-hold.js';
 import { openSlab } from '../../src/router/slab/slab.js';
@@ -27,7 +27,7 @@
   budgetUs: 1_000_000,
 };
 
-const good: CarriedHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
+const good: OpaqueResponseHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
 
 /** A caller that writes down what it is given. */
 const openHeard = () => {
@@ -83,10 +83,10 @@
     stream: { pieces: 0, running: undefined, dueUs: 0, lastPiece: undefined, refusal: undefined },
   }));
 
-type Server = (listener: CarryListener) => void;
+type Server = (listener: OpaqueResponseListener) => void;
 
 const tried = (continuation: Continuation, server: Server): Promise<DeliveryEnd> => {
-  const carryOver: NonNullable<ServerLink['carry']> = (_order, listener) => {
+  const carryOver: NonNullable<ServerLink['forward']> = (_order, listener) => {
     queueMicrotask(() => server(listener));
     return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
   };
@@ -94,9 +94,9 @@
     key: 'k',
     isOpen: () => true,
     close: () => undefined,
-    confirm: () => Promise.resolve(true),
+    probe: () => Promise.resolve(true),
     deliver: () => Promise.reject(new Error('not here')),
-    carry: carryOver,
+    forward: carryOver,
   };
   const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
   return carry(continuation, link, carryOver, order, new AbortController().signal, {
@@ -191,7 +191,7 @@
 });
 
 test('what comes after a caller is gone, or after the end of a try, is given to nobody', async () => {
-  const late = (listener: CarryListener): void => {
+  const late = (listener: OpaqueResponseListener): void => {
     listener.head(good);
     listener.piece(bytes('2'), 2);
     listener.end();
@@ -199,8 +199,8 @@
   for (const streams of [true, false]) {
     const { heard, caller } = openHeard();
     const leaving = new AbortController();
-    let listened: CarryListener | undefined;
-    const carryOver: NonNullable<ServerLink['carry']> = (_order, listener) => {
+    let listened: OpaqueResponseListener | undefined;
+    const carryOver: NonNullable<ServerLink['forward']> = (_order, listener) => {
       listened = listener;
       return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
     };
@@ -211,9 +211,9 @@
       close: () => {
         isClosed = true;
       },
-      confirm: () => Promise.resolve(true),
+      probe: () => Promise.resolve(true),
       deliver: () => Promise.reject(new Error('not here')),
-      carry: carryOver,
+      forward: carryOver,
     };
     const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
     const events = { piece: () => undefined, load: () => undefined };
--- a/tests/servers/merge-lists.test.ts
+++ b/tests/servers/merge-lists.test.ts
@@ -1,17 +1,25 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import type { AskedList } from '../../src/servers/list/asked-list.js';
+import type { PolledList } from '../../src/servers/list/polled-list.js';
 import { checkList } from '../../src/servers/list/check-list.js';
-import { isAnyList } from '../../src/servers/list/check-asked-list.js';
-import { livingListOf } from '../../src/servers/list/living-list.js';
+import { isServerList } from '../../src/servers/list/is-server-list.js';
+import { liveListOf } from '../../src/servers/list/live-list.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
-import { askedListOf, mergeLists, tombstoneUs, withoutOldTombstones } from '../../src/servers/list/merge-lists.js';
+import {
+  polledListOf,
+  mergeLists,
+  tombstoneRetentionUs,
+  dropExpiredTombstones,
+} from '../../src/servers/list/merge-lists.js';
 import { rankOfState } from '../../src/servers/list/server-state.js';
 import { serverOf } from '../decision/fixtures.js';
 import { randomLists } from './random-lists.js';
 
 const startUs = 1_000_000_000_000;
-/** Two accounts that can not both be true: two origins of one id, or two weights of one moment; the digest alone tells them apart. */
+/**
+ * Whether two entries of one id contradict each other: different origins, or different weights with the same stamp. The
+ * version does not reflect such a difference, only the digest does.
+ */
 const isContradiction = (server: ListedServer, other: ListedServer): boolean =>
   server.id === other.id &&
   (server.address !== other.address || (server.weightsAtUs === other.weightsAtUs && server.weights !== other.weights));
@@ -31,7 +39,7 @@
   }
 });
 
-test('states only go on, stamps only move earlier, and the version rises when anything does', () => {
+test('states only advance, stamps only move earlier, and the version grows with every such change', () => {
   for (const { left, right } of triples) {
     const merged = mergeLists(left, right);
     for (const server of left.servers) {
@@ -43,11 +51,13 @@
       );
     }
     assert.ok(merged.version >= left.version && merged.version >= right.version);
-    const isTie = left.servers.some((server) => right.servers.some((other) => isContradiction(server, other)));
-    if (!isTie)
+    const hasContradiction = left.servers.some((server) =>
+      right.servers.some((other) => isContradiction(server, other)),
+    );
+    if (!hasContradiction)
       assert.is(merged.version > left.version, merged.digest !== left.digest || merged.version !== left.version);
-    if (merged.version === left.version && !isTie) {
-      const stamped = ({ servers }: AskedList) =>
+    if (merged.version === left.version && !hasContradiction) {
+      const stampsOf = ({ servers }: PolledList) =>
         servers.map(({ id, state, listedAtUs, leavingAtUs, goneAtUs, slots }) => ({
           id,
           state,
@@ -56,25 +66,25 @@
           goneAtUs,
           slots,
         }));
-      assert.equal(stamped(merged), stamped(left));
+      assert.equal(stampsOf(merged), stampsOf(left));
     }
   }
 });
 
-test('an earlier stamp alone makes the version rise', () => {
-  const late = askedListOf([serverOf('sa', startUs + 5_000)], startUs);
-  const early = askedListOf([serverOf('sa', startUs)], startUs);
+test('an earlier stamp alone increases the version', () => {
+  const late = polledListOf([serverOf('sa', startUs + 5_000)], startUs);
+  const early = polledListOf([serverOf('sa', startUs)], startUs);
   const merged = mergeLists(late, early);
   assert.is(merged.servers[0]?.listedAtUs, startUs);
   assert.ok(merged.version > late.version);
   assert.is(merged.version, early.version);
 });
 
-test('an old tombstone is dropped on both sides without the version going back or rising', () => {
+test('removing an expired tombstone does not change the version, and merging does not restore it', () => {
   const tombstone = serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs + 1_000 });
-  const known = askedListOf([tombstone, serverOf('sb', startUs)], startUs);
-  assert.is(withoutOldTombstones({ ...known, atUs: startUs + tombstoneUs }).servers.length, 2);
-  const dropped = withoutOldTombstones({ ...known, atUs: startUs + tombstoneUs + 2_000 });
+  const known = polledListOf([tombstone, serverOf('sb', startUs)], startUs);
+  assert.is(dropExpiredTombstones({ ...known, atUs: startUs + tombstoneRetentionUs }).servers.length, 2);
+  const dropped = dropExpiredTombstones({ ...known, atUs: startUs + tombstoneRetentionUs + 2_000 });
   assert.equal(
     dropped.servers.map(({ id }) => id),
     ['sb'],
@@ -85,27 +95,30 @@
   assert.equal(mergeLists(merged, known), dropped);
 });
 
-test('a version holds for a side that never heard of a dropped tombstone', () => {
+test('merging with a list that never contained a removed tombstone does not decrease the version', () => {
   const tombstone = serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs });
-  const known = askedListOf([tombstone, serverOf('sb', startUs)], startUs);
-  const stranger = askedListOf([serverOf('sb', startUs)], startUs + tombstoneUs, startUs + 1_000);
-  assert.ok(mergeLists(known, stranger).version >= known.version);
+  const known = polledListOf([tombstone, serverOf('sb', startUs)], startUs);
+  const listWithoutTombstone = polledListOf([serverOf('sb', startUs)], startUs + tombstoneRetentionUs, startUs + 1_000);
+  assert.ok(mergeLists(known, listWithoutTombstone).version >= known.version);
 });
 
-test('decisions do not see who is gone, and nodes take asked lists only when they hold', () => {
-  const list = askedListOf(
+test('tombstones are hidden from routing decisions, and invalid polled lists are rejected', () => {
+  const list = polledListOf(
     [serverOf('sa', startUs, { state: 'gone', goneAtUs: startUs }), serverOf('sb', startUs, { slots: 3 })],
     startUs,
   );
   assert.equal(
-    livingListOf(list).servers.map(({ id }) => id),
+    liveListOf(list).servers.map(({ id }) => id),
     ['sb'],
   );
-  assert.ok(checkList(livingListOf(list)).isRight());
-  assert.ok(isAnyList(list));
-  assert.not.ok(isAnyList({ ...list, digest: undefined }));
-  assert.not.ok(isAnyList({ ...list, servers: [serverOf('sa', startUs, { state: 'gone' })] }));
-  assert.ok(checkList({ version: 1, atUs: 0, servers: list.servers }).isLeft(), 'a told list knows no tombstones');
+  assert.ok(checkList(liveListOf(list)).isRight());
+  assert.ok(isServerList(list));
+  assert.not.ok(isServerList({ ...list, digest: undefined }));
+  assert.not.ok(isServerList({ ...list, servers: [serverOf('sa', startUs, { state: 'gone' })] }));
+  assert.ok(
+    checkList({ version: 1, atUs: 0, servers: list.servers }).isLeft(),
+    'a pushed list must not contain tombstones',
+  );
 });
 
 test.run();
--- a/tests/servers/open-link.test.ts
+++ b/tests/servers/open-link.test.ts
@@ -5,12 +5,12 @@
 import { steadyClock } from '../../src/common/clock/steady-clock.js';
 import type { Micros } from '../../src/common/micros.js';
 import { openServerLink } from '../../src/servers/link/open-link.js';
-import type { ServerOrder } from '../../src/servers/link/server-order.js';
+import type { DeliveryRequest } from '../../src/servers/link/delivery-request.js';
 import { openRawServer } from '../platform/raw/raw-server.js';
 import { listedAt } from '../router/loopback.js';
 
 const readPauseUs: Micros = 5_000;
-const order: ServerOrder = {
+const order: DeliveryRequest = {
   exchange: 'e1',
   service: 'web',
   kind: 'idem',
@@ -23,8 +23,8 @@
 const chunks = 'Transfer-Encoding: chunked';
 const chunkedBody = `${body.length.toString(16)}\r\n${body}\r\n0\r\n\r\n`;
 
-/** What a link of the product's own protocol reads of an answer that is sent in these bytes and then cut. */
-const delivered = async (
+/** The body that a link reads from a response of these headers and bytes, after which the connection is cut; `lost` on an error. */
+const receivedBody = async (
   headers: readonly string[],
   sent: string,
   cut: (socket: Socket) => void,
@@ -59,28 +59,28 @@
   (socket) => void socket.end(),
 ];
 
-// Guards against: an answer of a server of the product's own protocol that was cut off looks whole.
-test('an answer that ends with its connection is lost, since its end can not be told', async () => {
+// Guards against a truncated response that is taken for a complete one, in the router's own protocol.
+test('a response delimited by the close of its connection is rejected, since truncation cannot be detected', async () => {
   for (const cut of cuts)
     for (const connection of [[], ['Connection: close']])
-      assert.is(await delivered(connection, body.slice(0, 5), cut), 'lost');
+      assert.is(await receivedBody(connection, body.slice(0, 5), cut), 'lost');
 });
 
-test('an answer with a length or in chunks is whole with its last byte only', async () => {
+test('a response with a length or in chunks is accepted only with its last byte', async () => {
   for (const cut of cuts) {
-    assert.is(await delivered([length], body, cut), body);
-    assert.is(await delivered([chunks], chunkedBody, cut), body);
-    assert.is(await delivered([length], body.slice(0, 5), cut), 'lost');
-    assert.is(await delivered([chunks], chunkedBody.slice(0, -5), cut), 'lost');
+    assert.is(await receivedBody([length], body, cut), body);
+    assert.is(await receivedBody([chunks], chunkedBody, cut), body);
+    assert.is(await receivedBody([length], body.slice(0, 5), cut), 'lost');
+    assert.is(await receivedBody([chunks], chunkedBody.slice(0, -5), cut), 'lost');
   }
 });
 
-// Guards against: a slow reader and a server that closes its connection together end the process.
-test('an answer that is read slowly is whole, also where its connection ends meanwhile', async () => {
+// Guards against a crash of the process when a server closes the connection while its response is read slowly.
+test('a response that is read slowly is complete even if the connection ends meanwhile', async () => {
   for (let bytes = 60_000; bytes < 400_000; bytes += 20_000) {
     const text = 'x'.repeat(bytes);
     const headers = ['Connection: close', `Content-Length: ${bytes}`];
-    assert.is((await delivered(headers, text, (socket) => void socket.end(), readPauseUs)).length, bytes);
+    assert.is((await receivedBody(headers, text, (socket) => void socket.end(), readPauseUs)).length, bytes);
   }
 });
 
--- a/tests/servers/spread-asked.test.ts
+++ b/tests/servers/polled-list-gossip.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { askedListOf } from '../../src/servers/list/merge-lists.js';
+import { polledListOf } from '../../src/servers/list/merge-lists.js';
 import type { ServerList } from '../../src/servers/list/server-list.js';
 import type { GossipEffect } from '../../src/spread/machine/gossip-effect.js';
 import type { GossipEvent } from '../../src/spread/machine/gossip-event.js';
@@ -12,7 +12,7 @@
 
 const startUs = 1_000_000_000_000;
 
-/** Some spread machines whose frames arrive at once, in order. */
+/** Gossip state machines whose frames are delivered immediately and in order. */
 const openMachines = (count: number) => {
   const addresses = Array.from({ length: count }, (_, index) => `n${index}:1`);
   const views = new Map<string, GossipView>(
@@ -24,7 +24,7 @@
   const effects: GossipEffect[] = [];
   let atUs = 0;
   let isCut = false;
-  const take = (address: string, event: GossipEvent): void => {
+  const deliver = (address: string, event: GossipEvent): void => {
     const view = views.get(address);
     if (view === undefined) return;
     const step = stepGossip(view, event);
@@ -33,7 +33,7 @@
       effects.push(effect);
       if (effect.type === 'send') {
         assert.ok(isFrame(JSON.parse(JSON.stringify(effect.frame))), effect.frame.type);
-        if (!isCut) take(effect.address, { type: 'frame', at: atUs, from: address, frame: effect.frame });
+        if (!isCut) deliver(effect.address, { type: 'frame', at: atUs, from: address, frame: effect.frame });
       }
     }
   };
@@ -47,7 +47,7 @@
       isCut = false;
     },
     read: (index: number, ids: readonly string[]) =>
-      take(addresses[index] ?? '', {
+      deliver(addresses[index] ?? '', {
         type: 'reading',
         at: atUs,
         begunAt: atUs,
@@ -56,21 +56,21 @@
           servers: ids.map((id) => ({ id, service: 'model', address: '10.0.0.1:80', locality: 'a', state: 'up' })),
         },
       }),
-    offer: (index: number, list: ServerList) => take(addresses[index] ?? '', { type: 'list', at: atUs, list }),
-    refresh: (index: number) => take(addresses[index] ?? '', { type: 'refresh', at: atUs }),
+    offer: (index: number, list: ServerList) => deliver(addresses[index] ?? '', { type: 'list', at: atUs, list }),
+    refresh: (index: number) => deliver(addresses[index] ?? '', { type: 'refresh', at: atUs }),
     play: (ticks: number) => {
       for (let tick = 0; tick < ticks; tick += 1) {
         atUs += 200_000;
-        for (const address of addresses) take(address, { type: 'tick', at: atUs });
+        for (const address of addresses) deliver(address, { type: 'tick', at: atUs });
       }
     },
   };
 };
 
-test('two lists of one version with different content are noticed and merged', () => {
+test('two lists of the same version with different content are detected and merged', () => {
   const machines = openMachines(2);
-  const left = askedListOf([serverOf('sa', startUs)], startUs);
-  const right = askedListOf([serverOf('sb', startUs)], startUs);
+  const left = polledListOf([serverOf('sa', startUs)], startUs);
+  const right = polledListOf([serverOf('sb', startUs)], startUs);
   assert.is(left.version, right.version);
   machines.cut();
   machines.offer(0, left);
@@ -84,7 +84,7 @@
     );
 });
 
-test('lists that are offered anywhere in any order come to one everywhere', () => {
+test('lists that are offered to any node in any order converge to one list on all nodes', () => {
   for (let seed = 1; seed <= 100; seed += 1) {
     const machines = openMachines(4);
     randomLists(seed, 8).forEach((list, index) => {
@@ -100,15 +100,15 @@
   }
 });
 
-test('who has the list from before is sent only the difference', () => {
+test('a node that has the previous list is sent only the difference', () => {
   const machines = openMachines(3);
   const servers = Array.from({ length: 20 }, (_, index) => serverOf(`s${index}`, startUs));
-  machines.offer(0, askedListOf(servers, startUs));
+  machines.offer(0, polledListOf(servers, startUs));
   machines.play(2);
   machines.effects.length = 0;
   machines.offer(
     0,
-    askedListOf([serverOf('s3', startUs, { state: 'leaving', leavingAtUs: startUs + 1_000 })], startUs + 1_000),
+    polledListOf([serverOf('s3', startUs, { state: 'leaving', leavingAtUs: startUs + 1_000 })], startUs + 1_000),
   );
   machines.play(2);
   const sent = machines.effects.flatMap((effect) =>
@@ -121,13 +121,13 @@
   }
 });
 
-test('a told list takes the place of an asked one, and is not merged with it', () => {
+test('a pushed list replaces a polled one, without a merge', () => {
   const machines = openMachines(3);
-  machines.offer(0, askedListOf([serverOf('sa', startUs)], startUs));
+  machines.offer(0, polledListOf([serverOf('sa', startUs)], startUs));
   machines.play(2);
   machines.offer(1, listOf(1, startUs, [serverOf('sb', startUs)]));
   machines.play(3);
-  machines.offer(0, askedListOf([serverOf('sc', startUs)], startUs));
+  machines.offer(0, polledListOf([serverOf('sc', startUs)], startUs));
   machines.play(3);
   for (const index of [0, 1, 2])
     assert.equal(
@@ -136,9 +136,9 @@
     );
 });
 
-test('a node that asks for what is fresh is content only with the very list of a partner', () => {
+test('a refresh completes only once the node has the same list as a peer', () => {
   const machines = openMachines(2);
-  machines.offer(0, askedListOf([serverOf('sa', startUs, { state: 'leaving', leavingAtUs: startUs })], startUs));
+  machines.offer(0, polledListOf([serverOf('sa', startUs, { state: 'leaving', leavingAtUs: startUs })], startUs));
   machines.play(2);
   machines.effects.length = 0;
   machines.refresh(1);
@@ -146,7 +146,7 @@
   assert.is(machines.effects.filter(({ type }) => type === 'refreshed').length, 1);
 });
 
-test('a reader tells of its own reading while that is fresh, also when it knows a fresher one', () => {
+test('a poller reports its own reading while it is fresh, even if a peer has a later one', () => {
   const machines = openMachines(2);
   machines.read(0, ['sa']);
   machines.play(1);
@@ -154,10 +154,10 @@
   machines.play(1);
   machines.effects.length = 0;
   machines.play(1);
-  const told = machines.effects.flatMap((effect) =>
+  const reporters = machines.effects.flatMap((effect) =>
     effect.type === 'send' && effect.frame.type === 'digest' ? [effect.frame.read?.by] : [],
   );
-  assert.equal(told, ['router/n0:1', 'router/n1:1']);
+  assert.equal(reporters, ['router/n0:1', 'router/n1:1']);
 });
 
 test.run();
--- a/tests/servers/asking-group.ts
+++ b/tests/servers/polling-group.ts
@@ -6,64 +6,67 @@
 import { openSpreadTask, type SpreadTask } from '../../src/process/spread-task.js';
 import type { ServerList } from '../../src/servers/list/server-list.js';
 import type { ListSource } from '../../src/servers/source/list-source.js';
-import type { ReadServer } from '../../src/servers/source/read-server.js';
+import type { PolledServer } from '../../src/servers/source/polled-server.js';
 import { openSimNode, type SimNode } from '../../src/sim/process/sim-node.js';
 import type { SimPorts } from '../../src/sim/process/sim-ports.js';
 import { simSurroundingsOf } from '../../src/sim/process/sim-surroundings.js';
 import { openNetwork, type Network } from '../../src/sim/world/network.js';
 import { openWorld, type World } from '../../src/sim/world/world.js';
 
-export type AskingNode = {
+export type PollingNode = {
   readonly name: string;
   readonly address: string;
   readonly sim: SimNode;
   readonly spread: SpreadTask;
   readonly source: SourceTask;
   readonly counters: Counters;
-  /** The lists that it handed to its decisions. */
+  /** The lists that the node passed to its routing decisions. */
   readonly lists: ServerList[];
 };
 
-/** A platform whose list is asked for, as these tests have it. */
-export type AskedPlatform = {
-  servers: readonly ReadServer[];
+/** A simulated platform whose server list is polled. */
+export type PolledPlatform = {
+  servers: readonly PolledServer[];
+  /** Whether its responses contain all pages. */
   whole: boolean;
-  refuses: boolean;
-  readonly deaf: Set<string>;
+  /** Whether it rejects every poll with a rate limit error. */
+  rejectsPolls: boolean;
+  /** Nodes whose polls do not reach it. */
+  readonly cutOffNodes: Set<string>;
   readonly calls: { readonly who: string; readonly atUs: number }[];
 };
 
-export type AskingGroup = {
+export type PollingGroup = {
   readonly world: World;
   readonly network: Network;
-  readonly platform: AskedPlatform;
-  readonly nodes: readonly AskingNode[];
+  readonly platform: PolledPlatform;
+  readonly nodes: readonly PollingNode[];
   readonly frames: Map<string, number>;
-  readonly add: (name: string) => AskingNode;
+  readonly add: (name: string) => PollingNode;
 };
 
-const readUs = 20_000;
+const responseDelayUs = 20_000;
 
-/** Nodes that ask and spread, in virtual time; a name that begins with c is a core machine's. */
-export const openAskingGroup = (seed: number, names: readonly string[]): AskingGroup => {
+/** Nodes that poll and gossip, in virtual time. A node whose name begins with c is a control node. */
+export const openPollingGroup = (seed: number, names: readonly string[]): PollingGroup => {
   const world = openWorld(seed);
   const network = openNetwork(world);
   const ports: SimPorts = new Map();
-  const platform: AskedPlatform = { servers: [], whole: true, refuses: false, deaf: new Set(), calls: [] };
+  const platform: PolledPlatform = { servers: [], whole: true, rejectsPolls: false, cutOffNodes: new Set(), calls: [] };
   const frames = new Map<string, number>();
   const seeds = names.slice(0, 3).map((name) => `${name}:1`);
-  const nodes: AskingNode[] = [];
-  const add = (name: string): AskingNode => {
+  const nodes: PollingNode[] = [];
+  const add = (name: string): PollingNode => {
     const address = `${name}:1`;
     const sim = openSimNode(world);
-    const life = sim.begin();
+    const instance = sim.begin();
     const listSource: ListSource = {
       read: async () => {
         platform.calls.push({ who: name, atUs: world.now() });
-        if (platform.refuses) return Left(typedError('over-rate', '429'));
-        if (platform.deaf.has(name)) return Left(typedError('unreachable', 'cut off'));
+        if (platform.rejectsPolls) return Left(typedError('over-rate', '429'));
+        if (platform.cutOffNodes.has(name)) return Left(typedError('unreachable', 'cut off'));
         const { servers, whole } = platform;
-        await paused(life.clock, readUs);
+        await paused(instance.clock, responseDelayUs);
         return Right({ servers, whole });
       },
     };
@@ -72,7 +75,7 @@
         { world, network, ports, serverAt: () => undefined, note: () => undefined },
         name,
         address,
-        life,
+        instance,
       ),
       listSource,
     };
--- a/tests/servers/random-lists.ts
+++ b/tests/servers/random-lists.ts
@@ -1,9 +1,9 @@
 import { oneOf, seededChance, wholeBelow, type Chance } from '../../src/common/chance.js';
-import type { AskedList } from '../../src/servers/list/asked-list.js';
+import type { PolledList } from '../../src/servers/list/polled-list.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
-import { askedListOf } from '../../src/servers/list/merge-lists.js';
+import { polledListOf } from '../../src/servers/list/merge-lists.js';
 
-const stamp = (chance: Chance): number => 1_000_000_000_000 + wholeBelow(chance, 5) * 1_000;
+const randomStamp = (chance: Chance): number => 1_000_000_000_000 + wholeBelow(chance, 5) * 1_000;
 
 const randomServer = (chance: Chance, id: string): ListedServer => {
   const state = oneOf(chance, ['up', 'leaving', 'gone'] as const) ?? 'up';
@@ -13,22 +13,22 @@
     service: 'model',
     address: `10.0.0.${wholeBelow(chance, 2)}:80`,
     locality: 'a',
-    listedAtUs: stamp(chance),
+    listedAtUs: randomStamp(chance),
     state,
-    ...(state === 'leaving' || (state === 'gone' && chance() < 0.5) ? { leavingAtUs: stamp(chance) } : {}),
-    ...(state === 'gone' ? { goneAtUs: stamp(chance) } : {}),
+    ...(state === 'leaving' || (state === 'gone' && chance() < 0.5) ? { leavingAtUs: randomStamp(chance) } : {}),
+    ...(state === 'gone' ? { goneAtUs: randomStamp(chance) } : {}),
     ...(chance() < 0.5 ? { slots: wholeBelow(chance, 3) } : {}),
-    ...(chance() < 0.5 ? { weights: `w${wholeBelow(chance, 2)}`, weightsAtUs: stamp(chance) } : {}),
+    ...(chance() < 0.5 ? { weights: `w${wholeBelow(chance, 2)}`, weightsAtUs: randomStamp(chance) } : {}),
   };
 };
 
-/** Lists of a few servers that have much in common and little alike. */
-export const randomLists = (seed: number, count: number): readonly AskedList[] => {
+/** Random polled lists over the same few servers, with differing states, stamps and weights. */
+export const randomLists = (seed: number, count: number): readonly PolledList[] => {
   const chance = seededChance(seed);
   return Array.from({ length: count }, () =>
-    askedListOf(
+    polledListOf(
       ['a', 'b', 'c', 'd'].filter(() => chance() < 0.7).map((id) => randomServer(chance, id)),
-      stamp(chance),
+      randomStamp(chance),
     ),
   );
 };
--- a/tests/servers/server-connection.test.ts
+++ b/tests/servers/server-connection.test.ts
@@ -8,14 +8,14 @@
 type Cut = (socket: Socket) => void;
 
 const reset: Cut = (socket) => void socket.resetAndDestroy();
-const endInOrder: Cut = (socket) => void socket.end();
-/** Below, at and above what one read takes. */
+const endOrderly: Cut = (socket) => void socket.end();
+/** Below, at and above the size of one read (65,536 bytes) and its multiple. */
 const sizes = [1, 100, 65_535, 65_536, 65_537, 131_072, 200_000] as const;
 
-/** So few that a reset takes none of them back out of the sender's buffers. */
+/** Small enough that a reset discards nothing from the sender's buffers. */
 const sentAtOnce = [1, 100, 10_000] as const;
 
-/** A peer that answers the first bytes of a connection with so many, and ends it in the same turn. */
+/** A peer that responds to the first bytes of a connection with `size` bytes, then ends it in the same turn of the event loop. */
 const openPeer = async (size: number, cut: Cut) => {
   const [port = 0] = await freePorts(1);
   const server = createServer((socket) => {
@@ -26,7 +26,7 @@
   return { port, close: () => server.close() };
 };
 
-/** How many bytes came before a connection closed, read as an HTTP library reads. */
+/** Number of bytes received until the connection closed, read in the way of an HTTP library. */
 const received = async ({ socket }: ServerConnection): Promise<number> => {
   let size = 0;
   socket.on('readable', () => {
@@ -36,7 +36,7 @@
   return size;
 };
 
-/** Opens a connection to such a peer and sends it one byte. */
+/** Runs `use` on a connection to such a peer, to which one byte has been sent. */
 const withConnection = async <Result>(
   size: number,
   cut: Cut,
@@ -60,22 +60,22 @@
     return { count, isBroken: connection.isBroken() };
   });
 
-// Guards against: a reset that comes together with bytes is taken for an end in order.
-test('a reset that comes together with the last bytes breaks a connection', async () => {
+// Guards against a reset that arrives together with data and is taken for an orderly end.
+test('a reset that arrives with the last bytes marks the connection as broken', async () => {
   for (const size of sizes) assert.ok((await endOf(size, reset)).isBroken, `${size} bytes`);
 });
 
-test('bytes that came before a reset are handed over', async () => {
+test('bytes that arrived before a reset are delivered', async () => {
   for (const size of sentAtOnce) assert.is((await endOf(size, reset)).count, size);
 });
 
-test('an end in order does not break a connection', async () => {
+test('an orderly end does not mark the connection as broken', async () => {
   for (const size of sizes)
-    assert.equal(await endOf(size, endInOrder), { count: size, isBroken: false }, `${size} bytes`);
+    assert.equal(await endOf(size, endOrderly), { count: size, isBroken: false }, `${size} bytes`);
 });
 
-test('a connection that is closed at this side, with or without an error, is broken', async () => {
-  for (const error of [undefined, new Error('given up')])
+test('a connection that is closed locally, with or without an error, is broken', async () => {
+  for (const error of [undefined, new Error('closed by the test')])
     await withConnection(
       1,
       () => undefined,
@@ -88,11 +88,11 @@
     );
 });
 
-test('a paused connection hands nothing over until it is resumed, and tells its end after its bytes', async () => {
+test('a paused connection delivers nothing until it is resumed, and reports its end after its data', async () => {
   const size = 200_000;
   for (const [cut, isBroken] of [
     [reset, true],
-    [endInOrder, false],
+    [endOrderly, false],
   ] as const)
     await withConnection(size, cut, async (connection) => {
       connection.pause();
--- a/tests/spread/cluster.test.ts
+++ b/tests/spread/cluster.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
-import type { ReadServer } from '../../src/servers/source/read-server.js';
+import type { PolledServer } from '../../src/servers/source/polled-server.js';
 import { liveRouterCount } from '../../src/spread/machine/membership.js';
 import { openCluster, type Cluster, type ClusterNode } from './cluster.js';
 
@@ -39,7 +39,7 @@
     node.view.partners.size === cluster.liveNodes().length - 1;
 
 const applyPoll = (cluster: Cluster, index: number, leaving: string | undefined): void => {
-  const servers = Array.from({ length: 40 }, (_, server): ReadServer => ({
+  const servers = Array.from({ length: 40 }, (_, server): PolledServer => ({
     id: `s${server}`,
     service: 'model',
     address: `10.1.0.${server}:80`,
