--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -20,7 +20,7 @@
       return;
     }
     const { storyAt, storyIn } = await import('./find-story.js');
-    const { explainStory } = await import('../router/explain/explain-story.js');
+    const { explainTrace: explainStory } = await import('../router/explain/explain-trace.js');
     const trace =
       node === undefined ? EitherAsync.liftEither(storyIn(journal ?? '-', exchange)) : storyAt(node, exchange);
     (await trace.run()).ifLeft(fail).ifRight((exchangeTrace) => {
--- a/src/cli/find-story.ts
+++ b/src/cli/find-story.ts
@@ -2,18 +2,18 @@
 import { EitherAsync, Left, Right, type Either } from 'purify-ts';
 import { checked } from '../common/checked.js';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
-import type { ExchangeStory } from '../router/explain/exchange-story.js';
+import type { ExchangeTrace } from '../router/explain/exchange-trace.js';
 import { readJournal } from '../router/explain/saved-journal.js';
-import { storySchema } from '../router/explain/story-schema.js';
+import { traceSchema } from '../router/explain/trace-schema.js';
 import { httpCall, httpText } from './http-call.js';
 
 /** Fetches the trace of an exchange from a router; fails with `unknown-exchange` if the router has none. */
-export const storyAt = (node: string, exchange: string): EitherAsync<TypedError, ExchangeStory> =>
+export const storyAt = (node: string, exchange: string): EitherAsync<TypedError, ExchangeTrace> =>
   httpCall({ method: 'GET', address: node, path: `/explain/${encodeURIComponent(exchange)}` }).chain(
     ({ status, body }) =>
       EitherAsync.liftEither(
         status === 200
-          ? checked(storySchema, body).mapLeft((faults) =>
+          ? checked(traceSchema, body).mapLeft((faults) =>
               typedError('bad-message', 'invalid trace in the response', faults),
             )
           : Left(typedError('unknown-exchange', `${node} has no trace of exchange ${exchange}`)),
@@ -29,7 +29,7 @@
 };
 
 /** Reads the trace of an exchange from a saved journal; `-` is standard input. */
-export const storyIn = (path: string, exchange: string): Either<TypedError, ExchangeStory> =>
+export const storyIn = (path: string, exchange: string): Either<TypedError, ExchangeTrace> =>
   readText(path)
     .chain(readJournal)
     .chain((traces) => {
--- a/src/experiment/emulated-clients.ts
+++ b/src/experiment/emulated-clients.ts
@@ -1,8 +1,8 @@
 import type { Micros } from '../common/micros.js';
 import type { TypedError } from '../common/typed-error.js';
 import { prefixTextOf } from '../decision/work/work-of.js';
-import { freeHold } from '../router/exchange/quota-hold.js';
-import type { CallerLink } from '../router/delivery/caller-link.js';
+import { unmeteredHold } from '../router/exchange/quota-hold.js';
+import type { ClientLink } from '../router/delivery/client-link.js';
 import type { OpaqueExchange } from '../router/opaque/opaque-exchange.js';
 import type { OpeningPart } from '../router/opaque/opening-part.js';
 import type { Rule } from '../setup/document/rule.js';
@@ -125,14 +125,14 @@
       isOver = true;
       world.after(Math.min(retryAfterUs, leftUs * mostWaitPart), () => attempt(exchange, sentUs, left - 1));
     };
-    const caller: CallerLink = {
+    const caller: ClientLink = {
       opaque: {
-        begin: () => undefined,
+        writeHead: () => undefined,
         write: () => {
           note();
           return true;
         },
-        onRoom: () => undefined,
+        onDrain: () => undefined,
         end: finish,
         whole: ({ status }) => {
           note();
@@ -158,10 +158,10 @@
           budgetUs: Math.max(1_000, dueUs - world.now()),
         },
         opaque: { ...exchange, budgetUs: Math.max(1_000, dueUs - world.now()) },
-        caller,
+        client: caller,
         apiKey: undefined,
         access: { type: 'open' },
-        quota: freeHold,
+        quota: unmeteredHold,
         claimed: undefined,
       }),
     );
--- a/src/experiment/emulated-routers.ts
+++ b/src/experiment/emulated-routers.ts
@@ -102,7 +102,7 @@
     const task = openRouterTask({
       node: self.node,
       spread,
-      gate: { pass: () => Promise.resolve(true), isShut: () => false },
+      gate: { waitUntilOpen: () => Promise.resolve(true), isShut: () => false },
       log: { change: () => undefined },
       counters,
       policy,
--- a/src/process/http/caller-over-http.ts
+++ b/src/process/http/caller-over-http.ts
@@ -1,11 +1,11 @@
 import type { ServerResponse } from 'node:http';
-import type { CallerLink } from '../../router/delivery/caller-link.js';
+import type { ClientLink } from '../../router/delivery/client-link.js';
 import { refusalStatusOf, unknownStatusOf } from '../router/error-status.js';
 import { breakOffResponse } from './break-off.js';
 import { reply, replyError } from './reply.js';
 
 /** The way back to a caller over HTTP. */
-export const callerOverHttp = (response: ServerResponse): CallerLink => {
+export const callerOverHttp = (response: ServerResponse): ClientLink => {
   const begin = (exchange: string): void => {
     if (!response.headersSent)
       response.writeHead(200, { 'content-type': 'application/x-ndjson', 'x-exchange-id': exchange });
--- a/src/process/router/admission.ts
+++ b/src/process/router/admission.ts
@@ -3,13 +3,13 @@
 import type { ErrorType } from '../../common/error-type.js';
 import type { Micros } from '../../common/micros.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
-import { freeHold, openQuotaHold, type QuotaHold } from '../../router/exchange/quota-hold.js';
+import { unmeteredHold, openQuotaHold, type QuotaHold } from '../../router/exchange/quota-hold.js';
 import { quotaCostOf } from '../../router/access/quota-cost.js';
 import { accessOf, type Access } from '../../router/access/access.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
 import { prefixTextOf } from '../../decision/work/work-of.js';
 import { ruleAt } from '../../setup/match/rule-index.js';
-import type { CallerLink } from '../../router/delivery/caller-link.js';
+import type { ClientLink } from '../../router/delivery/client-link.js';
 import { claimKeyOf } from '../../router/exchange/claim-key.js';
 import { claimBudgetOf } from '../../router/exchange/claim-budget.js';
 import { exchangeBodySchema } from '../../router/exchange/exchange-body.js';
@@ -22,193 +22,210 @@
 import type { RefreshGate } from './refresh-gate.js';
 import type { RouterTask } from './router-task.js';
 
-/** What an exchange passes on its way in. */
+/** Admission control: readiness, authentication, quota and the claim of an idempotency key, before an exchange is accepted. */
 export type Admission = {
-  /** How many have come in and are neither taken in nor answered, such as those that wait for their claim. */
-  readonly underWay: () => number;
-  /** Takes an exchange whose text passes unread; its rule is found by host and path. */
-  readonly arriveOpaque: (exchange: OpaqueExchange, caller: CallerLink) => Promise<void>;
-  /** Takes what a caller sent, and answers every request in the end. */
-  readonly arrive: (
-    sent: Either<TypedError, unknown>,
-    givenKey: unknown,
-    caller: CallerLink,
+  /** The number of requests that are neither accepted nor answered yet, such as those that wait for their claim. */
+  readonly pendingCount: () => number;
+  /** Admits an exchange whose body is forwarded unparsed; its rule is matched by host and path. */
+  readonly admitOpaque: (exchange: OpaqueExchange, client: ClientLink) => Promise<void>;
+  /** Admits a JSON request. Resolves once it has been accepted or answered; every request is answered eventually. */
+  readonly admit: (
+    json: Either<TypedError, unknown>,
+    idempotencyKey: unknown,
+    client: ClientLink,
     apiKey?: string,
   ) => Promise<void>;
 };
 
-export type AdmissionParts = {
+export type AdmissionDependencies = {
   readonly router: RouterTask;
   readonly spread: SpreadTask;
   readonly core: CoreClient;
   readonly gate: RefreshGate;
   readonly quota: Pick<QuotaTask, 'spend' | 'refund' | 'charge'>;
   readonly counters: Counters;
-  /** Why new exchanges can not be taken; none when they can. */
-  readonly closedBy: () => ErrorType | undefined;
+  /** Why new exchanges are refused now; undefined if they are accepted. */
+  readonly closedReason: () => ErrorType | undefined;
 };
 
-const comeBackUs: Micros = 1_000_000;
-/** Why a quota refuses, as callers read it. */
-const quotaRefusals = {
-  'over-quota': 'refused: the tenant has used its quota',
-  'quota-unavailable': 'refused: the quota could not be looked up',
+const defaultRetryAfterUs: Micros = 1_000_000;
+/** The messages to clients for each cause of a refusal by quota. */
+const quotaRefusalMessages = {
+  'over-quota': 'refused: the quota of the tenant is exhausted',
+  'quota-unavailable': 'refused: the quota could not be checked',
 } as const;
-const keyForm = /^[\x21-\x7e]{1,200}$/;
+const idempotencyKeyPattern = /^[\x21-\x7e]{1,200}$/;
 
-const isKey = (givenKey: unknown): givenKey is string | undefined =>
-  givenKey === undefined || (typeof givenKey === 'string' && keyForm.test(givenKey));
+const isValidKey = (key: unknown): key is string | undefined =>
+  key === undefined || (typeof key === 'string' && idempotencyKeyPattern.test(key));
 
-export const openAdmission = ({ router, spread, core, gate, quota, counters, closedBy }: AdmissionParts): Admission => {
-  const refuse = (caller: CallerLink, error: TypedError, retryAfterUs?: Micros, exchange?: string): void => {
+/** Opens the admission control of one router. */
+export const openAdmission = ({
+  router,
+  spread,
+  core,
+  gate,
+  quota,
+  counters,
+  closedReason: closedReason,
+}: AdmissionDependencies): Admission => {
+  const refuse = (client: ClientLink, error: TypedError, retryAfterUs?: Micros, exchange?: string): void => {
     counters.count(`refused.${error.type}`);
-    caller.refuse(error, exchange, retryAfterUs);
+    client.refuse(error, exchange, retryAfterUs);
   };
 
-  /** Whether this node takes requests now; one that comes while it does not is refused. */
-  const isOpenTo = async (caller: CallerLink): Promise<boolean> => {
-    const isFresh = await gate.pass();
-    const closing = isFresh ? closedBy() : 'not-ready';
+  /** Whether this node accepts requests now; if not, refuses this one. */
+  const checkOpen = async (client: ClientLink): Promise<boolean> => {
+    const isFresh = await gate.waitUntilOpen();
+    const closing = isFresh ? closedReason() : 'not-ready';
     if (closing === undefined) return true;
-    refuse(caller, typedError(closing, 'refused: this node takes no exchanges now'), comeBackUs);
+    refuse(
+      client,
+      typedError(closing, 'refused: this node does not accept exchanges at the moment'),
+      defaultRetryAfterUs,
+    );
     return false;
   };
 
-  /** Whom a request comes from; one without a key that it needs is refused at once, before anything is counted or held. */
-  const authenticated = (
+  /** Authenticates a request; refuses one without a required key, before any quota is spent or state is allocated. */
+  const authenticate = (
     setup: Setup,
     rule: Rule,
     apiKey: string | undefined,
-    caller: CallerLink,
+    client: ClientLink,
   ): Exclude<Access, { readonly type: 'denied' }> | undefined => {
     const access = accessOf(setup, rule, apiKey);
     if (access.type !== 'denied') return access;
-    refuse(caller, typedError('unknown-key', 'the request carries no key of a tenant'));
+    refuse(client, typedError('unknown-key', 'the request has no valid API key of a tenant'));
     return undefined;
   };
 
   /**
-   * Spends what a request costs of its tenant's quota; undefined where it was refused, or its caller has left meanwhile.
-   * The answer comes at once where tokens are at hand, and within a fraction of a second otherwise.
+   * Spends the cost of a request from its tenant's quota; undefined if it was refused, or its client has disconnected meanwhile.
+   * Resolves immediately if the reserve has tokens, and within a fraction of a second otherwise.
    */
-  const paid = async (
+  const spendQuota = async (
     access: Access,
     rule: Rule,
-    toldTokens: number | undefined,
-    caller: CallerLink,
+    declaredTokens: number | undefined,
+    client: ClientLink,
   ): Promise<QuotaHold | undefined> => {
     const limit = access.type === 'tenant' ? access.tenant.quota : undefined;
-    if (access.type !== 'tenant' || limit === undefined || limit.ratePerSecond === 0) return freeHold;
+    if (access.type !== 'tenant' || limit === undefined || limit.ratePerSecond === 0) return unmeteredHold;
     const tenant = access.tenant.name;
-    const cost = quotaCostOf(limit, toldTokens);
-    const exchange = router.nextExchange();
+    const cost = quotaCostOf(limit, declaredTokens);
+    const exchange = router.nextExchangeId();
     const answer = await quota.spend(exchange, tenant, cost);
     if (answer.type === 'rejected') {
-      const error = typedError(answer.cause, quotaRefusals[answer.cause]);
-      router.noteRefusal(exchange, rule, error, { tenant, cost, retryAfterUs: answer.retryAfterUs });
-      refuse(caller, error, answer.retryAfterUs, exchange);
+      const error = typedError(answer.cause, quotaRefusalMessages[answer.cause]);
+      router.recordRefusal(exchange, rule, error, { tenant, cost, retryAfterUs: answer.retryAfterUs });
+      refuse(client, error, answer.retryAfterUs, exchange);
       return undefined;
     }
     const hold = openQuotaHold(quota, { tenant, cost, source: answer.source });
-    if (!caller.isGone()) return hold;
+    if (!client.isGone()) return hold;
     counters.count('exchanges.abandoned');
     hold.end();
     return undefined;
   };
 
-  /** Claims a key of a run-once kind on the core before anything is delivered; the exchange that won it, if it did. */
-  const claimed = async (rule: Rule, givenKey: string, caller: CallerLink): Promise<string | undefined> => {
-    const exchange = router.nextExchange();
-    const key = claimKeyOf(rule, givenKey);
-    const refuseClaim = (why: string): void => {
-      const error = typedError('no-claim', `refused, nothing was delivered: ${why}`);
-      router.noteRefusal(exchange, rule, error);
-      refuse(caller, error, comeBackUs, exchange);
+  /**
+   * Claims an idempotency key of a kind that is not repeatable, through the core's replicated log, before anything is sent.
+   * Resolves to the id of the new exchange; undefined if the claim failed or an earlier exchange holds the key.
+   */
+  const claimKey = async (rule: Rule, idempotencyKey: string, client: ClientLink): Promise<string | undefined> => {
+    const exchange = router.nextExchangeId();
+    const key = claimKeyOf(rule, idempotencyKey);
+    const refuseClaim = (reason: string): void => {
+      const error = typedError('no-claim', `refused, nothing was sent to a server: ${reason}`);
+      router.recordRefusal(exchange, rule, error);
+      refuse(client, error, defaultRetryAfterUs, exchange);
     };
-    const asked = await core.ask(
+    const reply = await core.ask(
       { type: 'propose', command: { type: 'claim', key, exchange, atUs: spread.platformUs() } },
       claimBudgetOf(rule),
     );
-    return asked.caseOf<string | undefined>({
+    return reply.caseOf<string | undefined>({
       Left: (error) => {
-        refuseClaim(`the key could not be claimed (${error.message})`);
+        refuseClaim(`the idempotency key could not be claimed (${error.message})`);
         return undefined;
       },
-      Right: (receipt) => {
-        const outcome = receipt.type === 'applied' ? receipt.outcome : undefined;
+      Right: (result) => {
+        const outcome = result.type === 'applied' ? result.outcome : undefined;
         if (outcome?.type === 'claimed' && outcome.won) return exchange;
         if (outcome?.type === 'claimed') {
           counters.count('unknown.repeated-key');
-          caller.unknown(typedError('repeated-key', 'the key is claimed by an earlier exchange, which may have run'), {
-            holder: outcome.holder,
-          });
-        } else refuseClaim('no more keys can be claimed');
+          client.unknown(
+            typedError('repeated-key', 'the idempotency key is claimed by an earlier exchange, which may have run'),
+            {
+              holder: outcome.holder,
+            },
+          );
+        } else refuseClaim('the claim table is full');
         return undefined;
       },
     });
   };
 
-  let underWay = 0;
-  const admit: Admission['arrive'] = async (sent, givenKey, caller, apiKey) => {
-    const parsed = sent.chain((value) =>
-      checked(exchangeBodySchema, value).mapLeft((faults) =>
-        typedError('bad-exchange', 'the exchange does not hold', faults),
-      ),
+  let pendingCount = 0;
+  const admit: Admission['admit'] = async (json, idempotencyKey, client, apiKey) => {
+    const parsed = json.chain((value) =>
+      checked(exchangeBodySchema, value).mapLeft((faults) => typedError('bad-exchange', 'invalid exchange', faults)),
     );
     if (parsed.isLeft()) {
-      parsed.ifLeft((error) => refuse(caller, error, error.type === 'over-memory' ? comeBackUs : undefined));
+      parsed.ifLeft((error) => refuse(client, error, error.type === 'over-memory' ? defaultRetryAfterUs : undefined));
       return;
     }
     const body = parsed.unsafeCoerce();
-    if (!isKey(givenKey)) {
-      refuse(caller, typedError('bad-exchange', 'Idempotency-Key must be 1 to 200 visible characters'));
+    if (!isValidKey(idempotencyKey)) {
+      refuse(client, typedError('bad-exchange', 'Idempotency-Key must be 1 to 200 visible characters'));
       return;
     }
-    if (!(await isOpenTo(caller))) return;
+    if (!(await checkOpen(client))) return;
     const setup = router.view().record?.setup;
-    const rule = setup?.rules.find((knownRule) => knownRule.kind === body.kind);
+    const rule = setup?.rules.find((candidate) => candidate.kind === body.kind);
     if (setup === undefined || rule === undefined) {
-      refuse(caller, typedError('unknown-kind', `no rule is for kind ${body.kind}`));
+      refuse(client, typedError('unknown-kind', `no rule matches kind ${body.kind}`));
       return;
     }
-    const access = authenticated(setup, rule, apiKey, caller);
+    const access = authenticate(setup, rule, apiKey, client);
     if (access === undefined) return;
-    const hold = await paid(access, rule, body.tokens, caller);
+    const hold = await spendQuota(access, rule, body.tokens, client);
     if (hold === undefined) return;
-    if (rule.repeatable || givenKey === undefined) {
-      router.accept({ rule, body, caller, apiKey, access, quota: hold, claimed: undefined });
+    if (rule.repeatable || idempotencyKey === undefined) {
+      router.accept({ rule, body, client: client, apiKey, access, quota: hold, claimed: undefined });
       return;
     }
     if (router.inFlight() >= setup.pressure.slots) {
       hold.end();
-      refuse(caller, typedError('over-pressure', 'refused: too many exchanges are under way'), comeBackUs);
+      refuse(client, typedError('over-pressure', 'refused: too many exchanges in flight'), defaultRetryAfterUs);
       return;
     }
-    const exchange = await claimed(rule, givenKey, caller);
+    const exchange = await claimKey(rule, idempotencyKey, client);
     if (exchange === undefined) hold.end();
     else
       router.accept({
         rule,
         body,
-        caller,
+        client: client,
         apiKey,
         access,
         quota: hold,
-        claimed: { key: claimKeyOf(rule, givenKey), exchange },
+        claimed: { key: claimKeyOf(rule, idempotencyKey), exchange },
       });
   };
 
-  const admitOpaque: Admission['arriveOpaque'] = async (exchange, caller) => {
-    if (!(await isOpenTo(caller))) return;
+  const admitOpaque: Admission['admitOpaque'] = async (exchange, client) => {
+    if (!(await checkOpen(client))) return;
     const setup = router.view().record?.setup;
     const rule = setup === undefined ? undefined : ruleAt(setup, exchange.host, exchange.path);
     if (setup === undefined || rule === undefined) {
-      refuse(caller, typedError('unknown-place', 'no rule is for this host and path'));
+      refuse(client, typedError('unknown-place', 'no rule matches this host and path'));
       return;
     }
-    const access = authenticated(setup, rule, exchange.apiKey, caller);
+    const access = authenticate(setup, rule, exchange.apiKey, client);
     if (access === undefined) return;
-    const hold = await paid(access, rule, exchange.toldTokens, caller);
+    const hold = await spendQuota(access, rule, exchange.declaredTokens, client);
     if (hold === undefined) return;
     router.accept({
       rule,
@@ -218,7 +235,7 @@
         budgetUs: exchange.budgetUs,
       },
       opaque: exchange,
-      caller,
+      client: client,
       apiKey: exchange.apiKey,
       access,
       quota: hold,
@@ -226,17 +243,17 @@
     });
   };
 
-  /** Counts a request while it is on its way in. */
-  const counted = async (admitting: Promise<void>): Promise<void> => {
-    underWay += 1;
+  /** Counts a request as pending until its admission has ended. */
+  const countPending = async (admitting: Promise<void>): Promise<void> => {
+    pendingCount += 1;
     await admitting.finally(() => {
-      underWay -= 1;
+      pendingCount -= 1;
     });
   };
 
   return {
-    arriveOpaque: (exchange, caller) => counted(admitOpaque(exchange, caller)),
-    underWay: () => underWay,
-    arrive: (sent, givenKey, caller, apiKey) => counted(admit(sent, givenKey, caller, apiKey)),
+    admitOpaque: (exchange, client) => countPending(admitOpaque(exchange, client)),
+    pendingCount: () => pendingCount,
+    admit: (json, idempotencyKey, client, apiKey) => countPending(admit(json, idempotencyKey, client, apiKey)),
   };
 };
--- a/src/process/router/error-status.ts
+++ b/src/process/router/error-status.ts
@@ -1,6 +1,6 @@
 import type { ErrorType } from '../../common/error-type.js';
 
-/** The HTTP status of a refusal: nothing ran and nothing will. */
+/** The HTTP status of a refusal: the exchange did not run and never will. */
 export const refusalStatusOf = (error: ErrorType): number => {
   switch (error) {
     case 'unknown-key':
@@ -20,7 +20,7 @@
   }
 };
 
-/** The HTTP status when the outcome is unknown. */
+/** The HTTP status of an answer with unknown outcome: the exchange may have run. */
 export const unknownStatusOf = (error: ErrorType): number => {
   switch (error) {
     case 'budget-passed':
--- a/src/process/router/exchange-paths.ts
+++ b/src/process/router/exchange-paths.ts
@@ -12,13 +12,13 @@
 import { journalTextOf } from '../../router/explain/saved-journal.js';
 import type { RouterNode } from './router-node.js';
 
-const mostBodyBytes = 1 << 20;
-const memoryWaitUs: Micros = 1_000_000;
+const maxBodyBytes = 1 << 20;
+const maxMemoryWaitUs: Micros = 1_000_000;
 
-/** The JSON of a request. Its text is not held any longer than it takes to read it. */
+/** Reads the JSON body of a request; its memory reservation is released once it has been received. */
 const readRequest = async (message: IncomingMessage, { bodies }: RouterNode): Promise<Either<TypedError, unknown>> => {
   const received = await new Promise<Either<TypedError, ReceivedBody>>((resolve) =>
-    receiveBody(message, bodies, { mostBytes: mostBodyBytes, mostWaitUs: memoryWaitUs }, resolve),
+    receiveBody(message, bodies, { mostBytes: maxBodyBytes, mostWaitUs: maxMemoryWaitUs }, resolve),
   );
   return received.chain(({ bytes, release }) => {
     release();
@@ -26,10 +26,10 @@
   });
 };
 
-/** What callers use, and what explains where their exchanges went. */
+/** Registers the HTTP routes for exchanges, for their traces, and for the routing state of this node. */
 export const addExchangePaths = ({ app }: HttpServer, node: RouterNode): void => {
   app.post('/exchanges', async (message, response) => {
-    await node.arrive(
+    await node.admit(
       await readRequest(message, node),
       message.headers['idempotency-key'],
       callerOverHttp(response),
@@ -37,10 +37,10 @@
     );
   });
   app.get('/explain/:exchange', (message, response) => {
-    const story = node.router.stories.find(String(message.params['exchange'] ?? ''));
-    if (story === undefined)
-      replyError(response, 404, typedError('unknown-exchange', 'this node keeps no story of that exchange'));
-    else reply(response, 200, story);
+    const trace = node.router.stories.find(String(message.params['exchange'] ?? ''));
+    if (trace === undefined)
+      replyError(response, 404, typedError('unknown-exchange', 'this node has no trace of that exchange'));
+    else reply(response, 200, trace);
   });
   app.get('/journal', (_message, response) => {
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
--- a/src/process/router/quota-task.ts
+++ b/src/process/router/quota-task.ts
@@ -7,8 +7,8 @@
 import type { Counters } from '../counters.js';
 import type { SpreadTask } from '../spread-task.js';
 
-/** Whether a request may use its tenant's quota. */
-export type QuotaAnswer =
+/** The decision on a request under its tenant's quota. */
+export type QuotaDecision =
   | { readonly type: 'admitted'; readonly source: TokenSource }
   | {
       readonly type: 'rejected';
@@ -16,45 +16,45 @@
       readonly retryAfterUs: Micros;
     };
 
-/** The task that owns a router's reserves of tokens. */
+/** Runs the quota reserve of a router: tokens that the control nodes granted in advance, per tenant. */
 export type QuotaTask = {
-  /** Spends tokens of a tenant for one request; answers within a fraction of a second. */
-  readonly spend: (request: string, tenant: string, cost: number) => Promise<QuotaAnswer>;
-  /** Gives back what was spent for a request that did not run. */
+  /** Spends tokens of a tenant for one request; resolves within a fraction of a second. */
+  readonly spend: (request: string, tenant: string, cost: number) => Promise<QuotaDecision>;
+  /** Refunds what was spent for a request that did not run. */
   readonly refund: (tenant: string, tokens: number) => void;
-  /** Counts a further try of a request that may have run. */
+  /** Charges a further attempt of a request that may have run. */
   readonly charge: (tenant: string, tokens: number) => void;
   readonly close: () => void;
 };
 
-export type QuotaTaskParts = {
+export type QuotaTaskDependencies = {
   readonly node: string;
   readonly spread: SpreadTask;
   readonly clock: Clock;
   readonly counters: Counters;
 };
 
-/** The core machines are looked up anew at most this often. */
-const storesSpanUs: Micros = 200_000;
+/** The minimum interval between lookups of the control nodes. */
+const storeLookupIntervalUs: Micros = 200_000;
 
-const isSame = (left: readonly string[], right: readonly string[]): boolean =>
-  left.length === right.length && left.every((address, place) => address === right[place]);
+const areEqual = (left: readonly string[], right: readonly string[]): boolean =>
+  left.length === right.length && left.every((address, index) => address === right[index]);
 
-/** Opens a router's reserves; nothing is asked before a request needs it. */
-export const openQuotaTask = ({ node, spread, clock, counters }: QuotaTaskParts): QuotaTask => {
+/** Opens a router's reserve; it sends nothing until the first request under a quota. */
+export const openQuotaTask = ({ node, spread, clock, counters }: QuotaTaskDependencies): QuotaTask => {
   let state = initialQuotaReserve(node);
-  let storesDueUs = Number.NEGATIVE_INFINITY;
-  let takeBackTick = (): void => undefined;
-  let plannedUs = Number.POSITIVE_INFINITY;
-  const pending = new Map<string, (answer: QuotaAnswer) => void>();
+  let storeLookupDueUs = Number.NEGATIVE_INFINITY;
+  let cancelTick = (): void => undefined;
+  let tickDueUs = Number.POSITIVE_INFINITY;
+  const pending = new Map<string, (answer: QuotaDecision) => void>();
 
-  const answer = (request: string, given: QuotaAnswer): void => {
+  const answer = (request: string, decision: QuotaDecision): void => {
     const resolve = pending.get(request);
     pending.delete(request);
-    resolve?.(given);
+    resolve?.(decision);
   };
 
-  const carryOut = (effect: QuotaReserveEffect): void => {
+  const execute = (effect: QuotaReserveEffect): void => {
     switch (effect.type) {
       case 'admit':
         counters.count(`quota.admitted.${effect.source}`);
@@ -70,46 +70,46 @@
     }
   };
 
-  const take = (event: QuotaReserveEvent): void => {
+  const dispatch = (event: QuotaReserveEvent): void => {
     const step = stepQuotaReserve(state, event);
     state = step.state;
-    step.effects.forEach(carryOut);
-    planTick();
+    step.effects.forEach(execute);
+    scheduleTick();
   };
 
-  const planTick = (): void => {
-    if (state.wakeUs >= plannedUs) return;
-    takeBackTick();
-    plannedUs = state.wakeUs;
-    takeBackTick = clock.after(Math.max(0, plannedUs - clock.now()), () => {
-      plannedUs = Number.POSITIVE_INFINITY;
-      take({ type: 'tick', at: clock.now() });
+  const scheduleTick = (): void => {
+    if (state.wakeUs >= tickDueUs) return;
+    cancelTick();
+    tickDueUs = state.wakeUs;
+    cancelTick = clock.after(Math.max(0, tickDueUs - clock.now()), () => {
+      tickDueUs = Number.POSITIVE_INFINITY;
+      dispatch({ type: 'tick', at: clock.now() });
     });
   };
 
-  const lookUpStores = (): void => {
+  const updateStores = (): void => {
     const nowUs = clock.now();
-    if (nowUs < storesDueUs) return;
-    storesDueUs = nowUs + storesSpanUs;
-    const known = [...spread.view().partners.values()].map(({ partner }) => partner);
-    const stores = known
+    if (nowUs < storeLookupDueUs) return;
+    storeLookupDueUs = nowUs + storeLookupIntervalUs;
+    const peers = [...spread.view().partners.values()].map(({ partner }) => partner);
+    const stores = peers
       .filter(({ role }) => role === 'control')
       .map(({ address }) => address)
       .sort();
-    if (!isSame(stores, state.stores)) take({ type: 'stores', at: nowUs, stores });
+    if (!areEqual(stores, state.stores)) dispatch({ type: 'stores', at: nowUs, stores });
   };
 
-  spread.events.on('quotaReply', (_from, { ask, reply }) => take({ type: 'reply', at: clock.now(), ask, reply }));
+  spread.events.on('quotaReply', (_from, { ask, reply }) => dispatch({ type: 'reply', at: clock.now(), ask, reply }));
 
   return {
     spend: (request, tenant, cost) =>
       new Promise((resolve) => {
-        lookUpStores();
+        updateStores();
         pending.set(request, resolve);
-        take({ type: 'request', at: clock.now(), request, tenant, cost });
+        dispatch({ type: 'request', at: clock.now(), request, tenant, cost });
       }),
-    refund: (tenant, tokens) => take({ type: 'refund', at: clock.now(), tenant, tokens }),
-    charge: (tenant, tokens) => take({ type: 'charge', at: clock.now(), tenant, tokens }),
-    close: () => takeBackTick(),
+    refund: (tenant, tokens) => dispatch({ type: 'refund', at: clock.now(), tenant, tokens }),
+    charge: (tenant, tokens) => dispatch({ type: 'charge', at: clock.now(), tenant, tokens }),
+    close: () => cancelTick(),
   };
 };
--- a/src/process/router/refresh-gate.ts
+++ b/src/process/router/refresh-gate.ts
@@ -3,31 +3,32 @@
 import type { Micros } from '../../common/micros.js';
 import type { SpreadTask } from '../spread-task.js';
 
-/** Holds new work back after a freeze until setup and list are known to be fresh. */
+/** Holds back new work after the process was frozen, until the configuration and the server list have been refreshed. */
 export type RefreshGate = {
-  /** Waits for the gate; false when nothing fresh could be had in time. */
-  readonly pass: () => Promise<boolean>;
-  /** Every look measures the silence itself: news may be read before any timer has run. */
+  /** Waits until the gate is open; false if the refresh does not complete within the time limit. */
+  readonly waitUntilOpen: () => Promise<boolean>;
+  /** Each call checks for a freeze itself, because after one, sockets may be read before any timer runs. */
   readonly isShut: () => boolean;
 };
 
-const passBudgetUs: Micros = 1_500_000;
+const maxWaitUs: Micros = 1_500_000;
 
+/** Opens the gate of one process; `onFreeze` is called with the length of each detected freeze. */
 export const openRefreshGate = (
   spread: SpreadTask,
   clock: Clock,
-  tellFreeze: (spanUs: Micros) => void,
+  onFreeze: (frozenUs: Micros) => void,
 ): RefreshGate => {
-  let lookedUs = clock.now();
+  let lastCheckUs = clock.now();
   let isShut = false;
-  let waiting: ((isOpen: boolean) => void)[] = [];
+  let waiters: ((isOpen: boolean) => void)[] = [];
   const look = (): boolean => {
     const nowUs = clock.now();
-    const silentUs = nowUs - lookedUs;
-    lookedUs = nowUs;
+    const silentUs = nowUs - lastCheckUs;
+    lastCheckUs = nowUs;
     if (silentUs >= longestStepUs) {
       isShut = true;
-      tellFreeze(silentUs);
+      onFreeze(silentUs);
       spread.refresh();
     }
     return isShut;
@@ -35,18 +36,18 @@
   spread.events.on('refreshed', () => {
     isShut = false;
     if (look()) return;
-    const resumes = waiting;
-    waiting = [];
-    for (const resume of resumes) resume(true);
+    const resumed = waiters;
+    waiters = [];
+    for (const resume of resumed) resume(true);
   });
   return {
     isShut: look,
-    pass: () => {
+    waitUntilOpen: () => {
       if (!look()) return Promise.resolve(true);
       return new Promise((resolve) => {
-        const takeBack = clock.after(passBudgetUs, () => resolve(false));
-        waiting.push((isOpen) => {
-          takeBack();
+        const cancelTimer = clock.after(maxWaitUs, () => resolve(false));
+        waiters.push((isOpen) => {
+          cancelTimer();
           resolve(isOpen);
         });
       });
--- a/src/process/router/router-node.ts
+++ b/src/process/router/router-node.ts
@@ -18,52 +18,54 @@
 import { openRefreshGate } from './refresh-gate.js';
 import { openRouterTask, type RouterTask } from './router-task.js';
 
-/** A router node with all its tasks; only HTTP is added from outside. */
+/** A router node with all its tasks, but without its HTTP server. */
 export type RouterNode = {
   readonly name: string;
   readonly spread: SpreadTask;
   readonly router: RouterTask;
   readonly counters: Counters;
-  /** The memory for the bodies of requests. */
+  /** The memory budget for request bodies. */
   readonly bodies: BodyMemory;
-  readonly arrive: Admission['arrive'];
-  readonly arriveOpaque: Admission['arriveOpaque'];
-  readonly unready: () => string | undefined;
-  /** What the node knows and does, for its log. */
+  readonly admit: Admission['admit'];
+  readonly admitOpaque: Admission['admitOpaque'];
+  /** Why the node is not ready; undefined if it is. */
+  readonly unreadyReason: () => string | undefined;
+  /** The fields that describe the node's state in log lines. */
   readonly state: () => Readonly<Record<string, unknown>>;
-  /** Whether the node is about to stop, so that callers should look for another. */
+  /** Whether the node is stopping, so that clients should use another one. */
   readonly isStopping: () => boolean;
   readonly start: () => Promise<void>;
-  /** Ends in order: unready, in flight to their last byte or the bound, then gone. */
+  /** Stops gracefully: reports unready, waits until the exchanges in flight are complete or the time limit passes, then ends. */
   readonly stop: (callers?: CallersAtStop) => Promise<void>;
-  /** Ends at once, and breaks off what is in flight. */
+  /** Stops immediately; responses in flight are aborted. */
   readonly end: () => void;
 };
 
-export type RouterNodePlan = {
+export type RouterNodeOptions = {
   readonly settings: NodeSettings;
   readonly log: Log;
   readonly surroundings: Surroundings;
-  /** Makes the client that asks the core. */
-  readonly coreOf?: (spread: SpreadTask, surroundings: Surroundings) => CoreClient;
+  /** Opens the client of the core. */
+  readonly openCore?: (spread: SpreadTask, surroundings: Surroundings) => CoreClient;
 };
 
-const confirmBudgetUs: Micros = 1_000_000;
-const confirmPauseUs: Micros = 200_000;
-/** How often a node looks whether it stood still; far less than the shortest freeze that counts. */
-const freezeLookSpanUs: Micros = 100_000;
-const drainLookSpanUs: Micros = 20_000;
+const coreRequestBudgetUs: Micros = 1_000_000;
+const confirmRetryDelayUs: Micros = 200_000;
+/** The interval of checks for a freeze; much shorter than the shortest freeze that counts. */
+const freezeCheckIntervalUs: Micros = 100_000;
+const drainPollIntervalUs: Micros = 20_000;
+/** Time after the node turns unready in which it still accepts requests, so that load balancers can notice. */
 const lameDuckUs: Micros = 1_000_000;
-/** Whoever stops a node ends it after eight seconds; what is left by then has been told so before. */
+/** Supervisors kill a stopping node after eight seconds; the clients of remaining exchanges are answered or disconnected before that. */
 const drainBudgetUs: Micros = 7_600_000;
 
-/** Puts a router node together. */
+/** Wires the tasks of a router node; it joins the fleet at `start`. */
 export const openRouterNode = ({
   settings,
   log,
   surroundings,
-  coreOf = openCoreClient,
-}: RouterNodePlan): RouterNode => {
+  openCore: openCore = openCoreClient,
+}: RouterNodeOptions): RouterNode => {
   const { clock } = surroundings;
   const counters = openCounters();
   const bodies = openBodyMemory(settings.memoryBytes ?? usualMemoryBytes, clock, counters);
@@ -82,10 +84,10 @@
     linkOptionsOf(settings),
   );
   const source = openSourceTask('router', settings.node, spread, log, counters, surroundings);
-  const core = coreOf(spread, surroundings);
-  const gate = openRefreshGate(spread, clock, (spanUs) => {
+  const core = openCore(spread, surroundings);
+  const gate = openRefreshGate(spread, clock, (frozenUs) => {
     counters.count('freezes');
-    log.change('woke', { frozenUs: spanUs });
+    log.change('resumed after a freeze', { frozenUs });
   });
   const router = openRouterTask({
     node: settings.node,
@@ -97,37 +99,37 @@
     release: ({ key, exchange }) => {
       void core.ask(
         { type: 'propose', command: { type: 'release', key, exchange, atUs: spread.platformUs() } },
-        confirmBudgetUs,
+        coreRequestBudgetUs,
       );
     },
   });
   let isConfirmed = false;
   let isStopping = false;
   let isDraining = false;
-  let endLooks = (): void => undefined;
+  let stopFreezeChecks = (): void => undefined;
   let closeReport = (): void => undefined;
   const loopDelay = openLoopDelay(clock, counters);
 
-  const closedBy = (): ErrorType | undefined => {
+  const closedReason = (): ErrorType | undefined => {
     if (isDraining) return 'draining';
     return isConfirmed && router.view().list !== undefined ? undefined : 'not-ready';
   };
   const quota = openQuotaTask({ node: settings.node, spread, clock, counters });
-  const admission = openAdmission({ router, spread, core, gate, quota, counters, closedBy });
+  const admission = openAdmission({ router, spread, core, gate, quota, counters, closedReason: closedReason });
 
+  /** Reads the configuration from the core until one read succeeds; the node is not ready before. */
   const confirm = async (): Promise<void> => {
     while (!isConfirmed && !isStopping) {
-      (await core.ask({ type: 'read' }, confirmBudgetUs)).ifRight((receipt) => {
-        if (receipt.type !== 'record' || receipt.record === undefined) return;
-        spread.offerSetup(receipt.record);
+      (await core.ask({ type: 'read' }, coreRequestBudgetUs)).ifRight((reply) => {
+        if (reply.type !== 'record' || reply.record === undefined) return;
+        spread.offerSetup(reply.record);
         isConfirmed = true;
-        log.change('confirmed', { revision: receipt.record.revision });
+        log.change('setup confirmed by the core', { revision: reply.record.revision });
       });
-      if (!isConfirmed) await paused(clock, confirmPauseUs);
+      if (!isConfirmed) await paused(clock, confirmRetryDelayUs);
     }
   };
 
-  /** What the node knows and does, for the report of its failures. */
   const state = () => ({
     revision: router.view().record?.revision ?? 0,
     list: router.view().list?.version ?? 0,
@@ -140,7 +142,7 @@
 
   const end = (): void => {
     isStopping = true;
-    endLooks();
+    stopFreezeChecks();
     source.close();
     router.close();
     quota.close();
@@ -155,22 +157,22 @@
     router,
     counters,
     bodies,
-    arrive: admission.arrive,
-    arriveOpaque: admission.arriveOpaque,
+    admit: admission.admit,
+    admitOpaque: admission.admitOpaque,
     isStopping: () => isStopping,
     state,
-    unready: () => {
+    unreadyReason: () => {
       if (isStopping) return 'stopping';
       if (!isConfirmed) return 'no setup is confirmed by the core yet';
-      if (router.view().list === undefined) return 'no list of servers is known yet';
-      if (gate.isShut()) return 'woke from a freeze and is not fresh yet';
-      return spread.view().isolated ? 'isolated from all partners' : undefined;
+      if (router.view().list === undefined) return 'no server list has been received yet';
+      if (gate.isShut()) return 'resumed after a freeze, setup and server list not refreshed yet';
+      return spread.view().isolated ? 'isolated from all peers' : undefined;
     },
     start: async () => {
       await spread.start();
       source.start();
       router.start();
-      endLooks = every(clock, freezeLookSpanUs, gate.isShut);
+      stopFreezeChecks = every(clock, freezeCheckIntervalUs, gate.isShut);
       closeReport = openFailureReport(clock, log, counters, state).close;
       log.change('started', {});
       void confirm();
@@ -184,10 +186,10 @@
       callers?.endIdle();
       isDraining = true;
       bodies.endWaits();
-      while (admission.underWay() > 0 && clock.now() < stopDueUs) await paused(clock, drainLookSpanUs);
+      while (admission.pendingCount() > 0 && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);
       router.drain();
       const isAnswered = (): boolean => router.inFlight() === 0 && (callers?.unanswered() ?? 0) === 0;
-      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainLookSpanUs);
+      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);
       log.change('stopped', { cutOff: router.inFlight(), unanswered: callers?.unanswered() ?? 0 });
       end();
     },
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -9,23 +9,23 @@
 import { platformUsOf, initialDecisionView, type DecisionView } from '../../decision/machine/view/decision-view.js';
 import { defaultPolicy, type DecisionPolicy } from '../../decision/policy.js';
 import { prefixOf } from '../../decision/ring/prefix.js';
-import { accessOf, isSameCaller, tenantNameOf, type Access } from '../../router/access/access.js';
-import type { CallerLink } from '../../router/delivery/caller-link.js';
+import { accessOf, isSameTenant, tenantNameOf, type Access } from '../../router/access/access.js';
+import type { ClientLink } from '../../router/delivery/client-link.js';
 import { deliver } from '../../router/delivery/deliver.js';
-import type { DeliveryEnd } from '../../router/delivery/delivery-end.js';
-import { carry } from '../../router/delivery/carry.js';
+import type { DeliveryResult } from '../../router/delivery/delivery-result.js';
+import { forwardOpaque } from '../../router/delivery/forward-opaque.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
 import { workOf } from '../../decision/work/work-of.js';
 import { shareOf } from '../../setup/match/share-of.js';
 import type { Continuation } from '../../router/exchange/continuation.js';
 import type { QuotaHold } from '../../router/exchange/quota-hold.js';
 import type { ExchangeBody } from '../../router/exchange/exchange-body.js';
-import { openPromiseChecks } from '../../router/promises/promise-checks.js';
-import { openTryChecks } from '../../router/promises/try-checks.js';
-import { watchCaller } from '../../router/promises/watched-caller.js';
-import { openStoryBook, type StoryBook } from '../../router/explain/story-book.js';
+import { openGuaranteeMonitor } from '../../router/guarantees/guarantee-monitor.js';
+import { openRoutingChecks } from '../../router/guarantees/routing-checks.js';
+import { monitorExchange } from '../../router/guarantees/exchange-monitor.js';
+import { openTraceStore, type TraceStore } from '../../router/explain/trace-store.js';
 import { openSlab, type Slab } from '../../router/slab/slab.js';
-import { ticketName, type Ticket } from '../../router/slab/ticket.js';
+import { handleText, type SlabHandle } from '../../router/slab/slab-handle.js';
 import { openLinkPool } from '../../servers/link/link-pool.js';
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import { serverKeyOf, type ServerKey } from '../../servers/list/server-key.js';
@@ -36,58 +36,69 @@
 import type { Surroundings } from '../surroundings/surroundings.js';
 import type { RefreshGate } from './refresh-gate.js';
 import { openServerSignals } from './server-signals.js';
-import { openTicks } from './ticks.js';
+import { openTickScheduler } from './tick-scheduler.js';
 
-/** The task that owns the decision machine, the continuations and the links to servers. */
+/** Runs the decision machine, and owns the exchanges in flight and the connections to servers. */
 export type RouterTask = {
+  /** The current state of the decision machine. */
   readonly view: () => DecisionView;
-  readonly stories: StoryBook;
+  readonly stories: TraceStore;
+  /** The most recent events of the decision machine. */
   readonly events: () => readonly DecisionEvent[];
-  /** Takes in an exchange that was checked, and claimed where that is due. */
-  readonly accept: (arrival: Arrival) => void;
+  /** Accepts an admitted exchange; it is answered through its client link. */
+  readonly accept: (arrival: AdmittedExchange) => void;
   readonly inFlight: () => number;
-  readonly nextExchange: () => string;
-  /** Writes down that an exchange was refused before it was taken in. */
-  readonly noteRefusal: (
+  /** A new exchange id. */
+  readonly nextExchangeId: () => string;
+  /** Records a trace of an exchange that was refused at admission. */
+  readonly recordRefusal: (
     exchange: string,
     rule: Rule,
     error: TypedError,
     facts?: Readonly<Record<string, unknown>>,
   ) => void;
+  /** Notifies the decision machine that this node is stopping. */
   readonly drain: () => void;
+  /** Reports this node and the known routers to the decision machine, and starts the ticks. */
   readonly start: () => void;
+  /** Stops the task and aborts the responses in flight. */
   readonly close: () => void;
 };
 
-export type Arrival = {
+/** An exchange that passed admission. */
+export type AdmittedExchange = {
   readonly rule: Rule;
   readonly body: ExchangeBody;
-  /** What is delivered in its stead where the text passes unread. */
+  /** Set if the request is forwarded unparsed; sent instead of `body`. */
   readonly opaque?: OpaqueExchange;
-  readonly caller: CallerLink;
+  readonly client: ClientLink;
   readonly apiKey: string | undefined;
   readonly access: Access;
-  /** What was spent of its tenant's quota. */
+  /** The quota that was spent at admission. */
   readonly quota: QuotaHold;
+  /** The hash of the claimed idempotency key, and the exchange id under which it was claimed. */
   readonly claimed: { readonly key: string; readonly exchange: string } | undefined;
 };
 
-const restBudgetUs: Micros = 1_000_000;
-const journalLimit = 4096;
-const mostStories = 4096;
-export type RouterTaskParts = {
+/** The time limit for the body of a finished stream to end; beyond it the connection is closed instead of reused. */
+const bodyEndBudgetUs: Micros = 1_000_000;
+const maxJournalEvents = 4096;
+const maxTraces = 4096;
+
+export type RouterTaskDependencies = {
   readonly node: string;
   readonly spread: SpreadTask;
   readonly gate: RefreshGate;
   readonly log: Log;
   readonly counters: Counters;
   readonly surroundings: Pick<Surroundings, 'clock' | 'dial' | 'freshName' | 'probesNothing'>;
-  /** Which parts of the decision are on; all where it is not told. */
+  /** Which parts of the decision machine are enabled; all by default. */
   readonly policy?: DecisionPolicy;
-  /** Frees the key of an exchange that was refused. */
+  /** Releases the claim on the idempotency key of an exchange that was refused. */
   readonly release: (claimed: { readonly key: string; readonly exchange: string }) => void;
 };
 
+/** Opens the task of one router; its ticks begin at `start`. */
 export const openRouterTask = ({
   node,
   spread,
@@ -97,29 +108,29 @@
   surroundings,
   policy = defaultPolicy,
   release,
-}: RouterTaskParts): RouterTask => {
+}: RouterTaskDependencies): RouterTask => {
   const { clock, dial, freshName, probesNothing = false } = surroundings;
   const boot = freshName();
   const slab: Slab<Continuation> = openSlab();
-  const tickets = new Map<string, Ticket>();
-  const stories = openStoryBook(mostStories);
+  const handles = new Map<string, SlabHandle>();
+  const traces = openTraceStore(maxTraces);
   const pool = openLinkPool(dial);
-  const promises = openPromiseChecks({ count: (name) => counters.count(name), log: log.change });
-  const tryChecks = openTryChecks(promises);
-  let madeDecisions: readonly Decision[] = [];
+  const guarantees = openGuaranteeMonitor({ count: (name) => counters.count(name), log: log.change });
+  const routingChecks = openRoutingChecks(guarantees);
+  let decisions: readonly Decision[] = [];
   let exchangeCount = 0;
   const journal = openJournal<DecisionView, DecisionEvent>(
     { ...initialDecisionView, policy },
     (view, event) => {
       const step = stepDecision(view, event);
-      madeDecisions = step.effects;
+      decisions = step.effects;
       return step.view;
     },
-    journalLimit,
+    maxJournalEvents,
   );
-  const waitingEvents: DecisionEvent[] = [];
-  let isTaking = false;
-  let takenUs = clock.now();
+  const pendingEvents: DecisionEvent[] = [];
+  let isDispatching = false;
+  let lastEventUs = clock.now();
 
   const signals = openServerSignals({
     spread,
@@ -129,42 +140,43 @@
     pool,
     log,
     counters,
-    take: (event) => take(event),
+    dispatch: (event) => dispatch(event),
   });
 
   const find = (exchange: string): Continuation | undefined => {
-    const ticket = tickets.get(exchange);
-    return ticket === undefined ? undefined : slab.get(ticket);
+    const handle = handles.get(exchange);
+    return handle === undefined ? undefined : slab.get(handle);
   };
 
-  const end = (continuation: Continuation): void => {
+  const endExchange = (continuation: Continuation): void => {
     continuation.stream.running?.cancel();
     continuation.stream.running = undefined;
-    tickets.delete(continuation.exchange);
-    slab.free(continuation.ticket);
+    handles.delete(continuation.exchange);
+    slab.free(continuation.handle);
     continuation.quota.end();
   };
 
-  const take = (event: DecisionEvent): void => {
-    const spanUs = event.at - takenUs;
-    takenUs = event.at;
-    if (spanUs >= longestStepUs) waitingEvents.push({ type: 'gap', at: event.at, spanUs });
-    waitingEvents.push(event);
-    if (isTaking) return;
-    isTaking = true;
-    for (let nextEvent = waitingEvents.shift(); nextEvent !== undefined; nextEvent = waitingEvents.shift()) {
+  /** Feeds an event to the decision machine and executes its decisions; events raised meanwhile are queued. */
+  const dispatch = (event: DecisionEvent): void => {
+    const spanUs = event.at - lastEventUs;
+    lastEventUs = event.at;
+    if (spanUs >= longestStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });
+    pendingEvents.push(event);
+    if (isDispatching) return;
+    isDispatching = true;
+    for (let nextEvent = pendingEvents.shift(); nextEvent !== undefined; nextEvent = pendingEvents.shift()) {
       journal.append(nextEvent);
-      madeDecisions.forEach(carryOut);
+      decisions.forEach(execute);
     }
-    isTaking = false;
-    ticks.plan();
+    isDispatching = false;
+    tickScheduler.scheduleNext();
   };
 
-  const tell = (exchange: string, what: string, facts: object): void =>
-    stories.add(exchange, { at: clock.now(), what, facts });
+  const addStep = (exchange: string, what: string, facts: object): void =>
+    traces.add(exchange, { at: clock.now(), what, facts });
 
-  const beginStory = (exchange: string, rule: Rule): void =>
-    stories.begin({
+  const beginTrace = (exchange: string, rule: Rule): void =>
+    traces.begin({
       exchange,
       kind: rule.kind,
       tier: rule.tier,
@@ -174,7 +186,7 @@
       steps: [],
     });
 
-  const carryOut = (decision: Decision): void => {
+  const execute = (decision: Decision): void => {
     counters.count(`decisions.${decision.type}`);
     switch (decision.type) {
       case 'booked':
@@ -183,97 +195,111 @@
         log.change(decision.type, decision);
         return;
       case 'deliver': {
-        tell(decision.exchange, 'deliver', decision);
+        addStep(decision.exchange, 'deliver', decision);
         counters.count(`reasons.${decision.reason.type}`);
         if (decision.extra) counters.count('tries.extra');
         const continuation = find(decision.exchange);
         if (continuation === undefined) return;
         if (policy.toldWork)
           signals.work(decision.server, continuation.rule.service, decision.tokens ?? 0, decision.busyUs ?? 0);
-        startTry(continuation, decision);
+        startAttempt(continuation, decision);
         return;
       }
       case 'hold':
-        tell(decision.exchange, 'hold', decision);
+        addStep(decision.exchange, 'hold', decision);
         return;
       case 'cancel': {
-        tell(decision.exchange, 'cancel', decision);
+        addStep(decision.exchange, 'cancel', decision);
         const continuation = find(decision.exchange);
         if (continuation?.stream.running?.attempt === decision.attempt) continuation.stream.running.cancel();
         return;
       }
       case 'refuse':
-        tell(decision.exchange, 'refuse', decision);
-        withContinuation(decision.exchange, (continuation) => {
+        addStep(decision.exchange, 'refuse', decision);
+        finishExchange(decision.exchange, (continuation) => {
           counters.count(`refused.${decision.error}`);
           if (continuation.claimedKey !== undefined)
             release({ key: continuation.claimedKey, exchange: decision.exchange });
-          continuation.caller.refuse(
-            typedError(decision.error, 'refused: it did not run and will not'),
+          continuation.client.refuse(
+            typedError(decision.error, 'refused: the exchange did not run and never will'),
             decision.exchange,
             decision.retryAfterUs,
           );
         });
         return;
       case 'unknown':
-        tell(decision.exchange, 'unknown', decision);
-        withContinuation(decision.exchange, (continuation) => {
+        addStep(decision.exchange, 'unknown', decision);
+        finishExchange(decision.exchange, (continuation) => {
           counters.count(`unknown.${decision.error}`);
-          const { refusal } = continuation.stream;
-          if (refusal !== undefined && continuation.caller.opaque !== undefined) {
-            continuation.caller.opaque.whole(refusal.head, refusal.body);
+          const { errorResponse: refusal } = continuation.stream;
+          if (refusal !== undefined && continuation.client.opaque !== undefined) {
+            continuation.client.opaque.whole(refusal.head, refusal.body);
             return;
           }
-          continuation.caller.unknown(typedError(decision.error, 'the outcome is unknown: it may have run'), {
+          continuation.client.unknown(typedError(decision.error, 'unknown outcome: the exchange may have run'), {
             exchange: decision.exchange,
           });
         });
         return;
       case 'breakOff':
-        tell(decision.exchange, 'breakOff', decision);
-        withContinuation(decision.exchange, (continuation) => {
+        addStep(decision.exchange, 'breakOff', decision);
+        finishExchange(decision.exchange, (continuation) => {
           counters.count('streams.brokenOff');
-          continuation.caller.breakOff();
+          continuation.client.breakOff();
         });
         return;
     }
   };
 
-  const withContinuation = (exchange: string, use: (continuation: Continuation) => void): void => {
+  /** Ends an exchange and sends its final answer; no effect if it has already ended. */
+  const finishExchange = (exchange: string, answer: (continuation: Continuation) => void): void => {
     const continuation = find(exchange);
     if (continuation === undefined) return;
-    end(continuation);
-    use(continuation);
+    endExchange(continuation);
+    answer(continuation);
   };
 
-  const startTry = (continuation: Continuation, decision: Extract<Decision, { readonly type: 'deliver' }>): void => {
-    const aborter = new AbortController();
-    continuation.stream.running = { attempt: decision.attempt, server: decision.server, cancel: () => aborter.abort() };
-    void runTry(continuation, decision, aborter.signal);
+  const startAttempt = (
+    continuation: Continuation,
+    decision: Extract<Decision, { readonly type: 'deliver' }>,
+  ): void => {
+    const abortController = new AbortController();
+    continuation.stream.running = {
+      attempt: decision.attempt,
+      server: decision.server,
+      cancel: () => abortController.abort(),
+    };
+    void runAttempt(continuation, decision, abortController.signal);
   };
 
-  /** A server as the newest list here has it. */
-  const listedNow = (key: ServerKey): ListedServer | undefined =>
+  /** A server in the newest server list; undefined if it is not listed. */
+  const findListedServer = (key: ServerKey): ListedServer | undefined =>
     journal.view().list?.servers.find((listed) => serverKeyOf(listed) === key);
 
-  const isAllowed = (continuation: Continuation, key: string): boolean =>
+  /** Whether the service of an exchange may use a server now. */
+  const isServerAllowed = (continuation: Continuation, key: string): boolean =>
     journal.view().topology.services.get(continuation.rule.service)?.allowed.has(key) ?? false;
 
-  /** Whether the newest configuration still has the caller's key for the same tenant; keys may be revoked while it waits. */
-  const isStillAllowed = ({ rule, apiKey, access }: Continuation): boolean => {
+  /** Whether the client's key still belongs to the same tenant; keys may be revoked while the exchange waits. */
+  const isStillAuthorized = ({ rule, apiKey, access }: Continuation): boolean => {
     const setup = journal.view().record?.setup;
-    return setup !== undefined && isSameCaller(access, accessOf(setup, rule, apiKey));
+    return setup !== undefined && isSameTenant(access, accessOf(setup, rule, apiKey));
   };
 
-  const runTry = async (
+  /**
+   * Runs one attempt. The checks of the gate, the server and the key are repeated after each wait, because a configuration, a
+   * server list or a freeze may have intervened.
+   */
+  const runAttempt = async (
     continuation: Continuation,
     decision: Extract<Decision, { readonly type: 'deliver' }>,
     signal: AbortSignal,
   ): Promise<void> => {
     const { exchange } = continuation;
     const { attempt } = decision;
-    const unsent = (error: 'no-link' | 'wrong-service' | 'key-revoked'): void =>
-      take({
+    /** Reports an attempt that failed before anything was sent. */
+    const failUnsent = (error: 'no-link' | 'wrong-service' | 'key-revoked'): void =>
+      dispatch({
         type: 'failed',
         at: clock.now(),
         exchange,
@@ -282,48 +308,48 @@
         pieces: continuation.stream.pieces,
         error,
       });
-    const isFresh = await gate.pass();
-    const server = listedNow(decision.server);
+    const isFresh = await gate.waitUntilOpen();
+    const server = findListedServer(decision.server);
     if (signal.aborted) return;
-    if (!isFresh || server === undefined || !isAllowed(continuation, decision.server)) {
-      unsent('no-link');
+    if (!isFresh || server === undefined || !isServerAllowed(continuation, decision.server)) {
+      failUnsent('no-link');
       return;
     }
-    const opened = await pool.acquire(server);
+    const acquired = await pool.acquire(server);
     if (signal.aborted) {
-      opened.ifRight((link) => pool.release(link));
+      acquired.ifRight((link) => pool.release(link));
       return;
     }
-    if (opened.isLeft()) {
-      opened.ifLeft((error) => {
+    if (acquired.isLeft()) {
+      acquired.ifLeft((error) => {
         counters.count('links.refused');
-        tell(exchange, 'no link', { attempt, error });
+        addStep(exchange, 'no link', { attempt, error });
         if (error.type !== 'bad-message') signals.unreachable(decision.server);
-        unsent(error.type === 'bad-message' ? 'wrong-service' : 'no-link');
+        failUnsent(error.type === 'bad-message' ? 'wrong-service' : 'no-link');
       });
       return;
     }
-    const link = opened.unsafeCoerce();
-    if (gate.isShut() || !link.isOpen() || !isAllowed(continuation, decision.server)) {
+    const link = acquired.unsafeCoerce();
+    if (gate.isShut() || !link.isOpen() || !isServerAllowed(continuation, decision.server)) {
       pool.release(link);
-      unsent('no-link');
+      failUnsent('no-link');
       return;
     }
-    if (!isStillAllowed(continuation)) {
+    if (!isStillAuthorized(continuation)) {
       pool.release(link);
       counters.count('keys.revokedInFlight');
-      unsent('key-revoked');
+      failUnsent('key-revoked');
       return;
     }
     continuation.watch.sent();
     continuation.quota.sent();
-    tryChecks.sent({
+    routingChecks.sent({
       exchange,
       rule: continuation.rule,
-      server: listedNow(decision.server),
+      server: findListedServer(decision.server),
       nowUs: spread.platformUs(),
     });
-    take({ type: 'sent', at: clock.now(), exchange, attempt });
+    dispatch({ type: 'sent', at: clock.now(), exchange, attempt });
     if (continuation.stream.pieces > 0) continuation.stream.dueUs = clock.now() + continuation.rule.firstPieceUs;
     const { opaque } = continuation;
     if (opaque !== undefined && link.forward !== undefined) {
@@ -335,139 +361,145 @@
         tenant: tenantNameOf(continuation.access),
         withholdsKey: continuation.access.type !== 'open',
       };
-      const carried = await carry(continuation, link, link.forward, order, signal, {
-        piece: () => countPiece(continuation, attempt),
+      const outcome = await forwardOpaque(continuation, link, link.forward, order, signal, {
+        piece: () => noteForwardedPiece(continuation, attempt),
         load: (load) => signals.load(decision.server, load),
       });
       if (!signal.aborted) {
-        if (carried.type === 'failed' && carried.error === 'link-lost') signals.suspect(decision.server);
+        if (outcome.type === 'failed' && outcome.error === 'link-lost') signals.suspect(decision.server);
         continuation.stream.dueUs = Number.POSITIVE_INFINITY;
-        endTry(continuation, attempt, decision.server, carried);
+        endAttempt(continuation, attempt, decision.server, outcome);
       }
       pool.release(link);
       return;
     }
-    const ending = await deliver(continuation, link, decision.fromPiece, signal, {
-      piece: (line) => givePiece(continuation, attempt, line, signal),
-      receipt: (text) => giveReceipt(continuation, attempt, text, signal),
+    const outcome = await deliver(continuation, link, decision.fromPiece, signal, {
+      piece: (line) => forwardPiece(continuation, attempt, line, signal),
+      receipt: (text) => forwardResponse(continuation, attempt, text, signal),
     });
     if (!signal.aborted) {
       continuation.stream.dueUs = Number.POSITIVE_INFINITY;
-      endTry(continuation, attempt, decision.server, ending);
+      endAttempt(continuation, attempt, decision.server, outcome);
     }
-    if (ending.type === 'done' && (await within(clock, ending.rest, restBudgetUs)) !== true) link.close();
+    if (outcome.type === 'done' && (await within(clock, outcome.rest, bodyEndBudgetUs)) !== true) link.close();
     pool.release(link);
   };
 
-  const endTry = (continuation: Continuation, attempt: number, server: ServerKey, ending: DeliveryEnd): void => {
+  const endAttempt = (
+    continuation: Continuation,
+    attempt: number,
+    server: ServerKey,
+    outcome: DeliveryResult,
+  ): void => {
     const { exchange } = continuation;
-    switch (ending.type) {
+    switch (outcome.type) {
       case 'done':
-        tell(exchange, 'done', { attempt, pieces: continuation.stream.pieces });
+        addStep(exchange, 'done', { attempt, pieces: continuation.stream.pieces });
         counters.count('exchanges.done');
         continuation.stream.running = undefined;
         if (continuation.isModel && continuation.opaque === undefined)
-          continuation.caller.end(exchange, continuation.stream.pieces);
-        end(continuation);
-        take({ type: 'done', at: clock.now(), exchange, attempt });
+          continuation.client.end(exchange, continuation.stream.pieces);
+        endExchange(continuation);
+        dispatch({ type: 'done', at: clock.now(), exchange, attempt });
         return;
       case 'gone':
-        leave(continuation);
+        abandon(continuation);
         return;
       case 'failed':
-        tell(exchange, 'failed', { attempt, ...ending });
-        counters.count(`tries.failed.${ending.error}`);
-        if (ending.notRun !== true) signals.broke(server);
-        if (ending.notRun === true) {
+        addStep(exchange, 'failed', { attempt, ...outcome });
+        counters.count(`tries.failed.${outcome.error}`);
+        if (outcome.notRun !== true) signals.reportFailure(server);
+        if (outcome.notRun === true) {
           continuation.watch.notRun();
           continuation.quota.notRun();
         }
-        take({
+        dispatch({
           type: 'failed',
           at: clock.now(),
           exchange,
           attempt,
           sent: true,
           pieces: continuation.stream.pieces,
-          error: ending.error,
-          ...(ending.notRun === true ? { notRun: true } : {}),
+          error: outcome.error,
+          ...(outcome.notRun === true ? { notRun: true } : {}),
         });
         return;
     }
   };
 
-  const leave = (continuation: Continuation): void => {
+  /** Ends an exchange whose client has disconnected. */
+  const abandon = (continuation: Continuation): void => {
     if (find(continuation.exchange) === undefined) return;
     counters.count('exchanges.abandoned');
-    tell(continuation.exchange, 'abandoned', {});
-    end(continuation);
-    take({ type: 'abandoned', at: clock.now(), exchange: continuation.exchange });
+    addStep(continuation.exchange, 'abandoned', {});
+    endExchange(continuation);
+    dispatch({ type: 'abandoned', at: clock.now(), exchange: continuation.exchange });
   };
 
-  const givePiece = async (
+  const forwardPiece = async (
     continuation: Continuation,
     attempt: number,
     line: string,
     signal: AbortSignal,
   ): Promise<boolean> => {
-    const { caller, stream, exchange, rule } = continuation;
-    if (signal.aborted || caller.isGone()) return false;
+    const { client: client, stream, exchange, rule } = continuation;
+    if (signal.aborted || client.isGone()) return false;
     stream.pieces += 1;
     stream.dueUs = Number.POSITIVE_INFINITY;
-    const given = caller.piece(exchange, line);
-    if (stream.pieces === 1) take({ type: 'firstPiece', at: clock.now(), exchange, attempt });
-    const isThere = await given;
+    const written = client.piece(exchange, line);
+    if (stream.pieces === 1) dispatch({ type: 'firstPiece', at: clock.now(), exchange, attempt });
+    const isConnected = await written;
     if (!signal.aborted) stream.dueUs = clock.now() + rule.silenceUs;
-    return isThere && !signal.aborted;
+    return isConnected && !signal.aborted;
   };
 
-  /** Counts a piece that was given on as it came. */
-  const countPiece = (continuation: Continuation, attempt: number): void => {
+  /** Restarts the silence timeout of an opaque stream, whose pieces `forwardOpaque` counts and forwards. */
+  const noteForwardedPiece = (continuation: Continuation, attempt: number): void => {
     continuation.stream.dueUs = clock.now() + continuation.rule.silenceUs;
     if (continuation.stream.pieces === 1)
-      take({ type: 'firstPiece', at: clock.now(), exchange: continuation.exchange, attempt });
+      dispatch({ type: 'firstPiece', at: clock.now(), exchange: continuation.exchange, attempt });
   };
 
-  const giveReceipt = (continuation: Continuation, attempt: number, text: string, signal: AbortSignal): void => {
+  const forwardResponse = (continuation: Continuation, attempt: number, text: string, signal: AbortSignal): void => {
     if (signal.aborted) return;
-    take({ type: 'firstPiece', at: clock.now(), exchange: continuation.exchange, attempt });
-    continuation.caller.receipt(continuation.exchange, text);
+    dispatch({ type: 'firstPiece', at: clock.now(), exchange: continuation.exchange, attempt });
+    continuation.client.receipt(continuation.exchange, text);
   };
 
-  /** Ends the tries whose servers fell silent in the middle of a stream. Time in which this process did not run is not theirs. */
-  const endSilentTries = (nowUs: Micros, lateUs: Micros): void => {
+  /** Fails attempts whose server sent nothing within the silence timeout of a stream. Stalls of this process do not count. */
+  const failSilentAttempts = (nowUs: Micros, lateUs: Micros): void => {
     for (const continuation of slab.values()) {
       const { running, pieces } = continuation.stream;
       continuation.stream.dueUs += lateUs;
       if (running === undefined || nowUs < continuation.stream.dueUs) continue;
       running.cancel();
-      endTry(continuation, running.attempt, running.server, {
+      endAttempt(continuation, running.attempt, running.server, {
         type: 'failed',
         error: 'silent',
-        message: `nothing came after piece ${pieces - 1}`,
+        message: `no data received after piece ${pieces - 1}`,
       });
     }
   };
 
   const tick = (nowUs: Micros, lateUs: Micros): void => {
-    endSilentTries(nowUs, lateUs);
-    for (const continuation of slab.values()) tryChecks.waiting(continuation, nowUs - lateUs);
+    failSilentAttempts(nowUs, lateUs);
+    for (const continuation of slab.values()) routingChecks.waiting(continuation, nowUs - lateUs);
     const platformUs = spread.platformUs();
-    if (platformUs > platformUsOf(journal.view())) take({ type: 'time', at: clock.now(), platformUs });
-    take({ type: 'tick', at: clock.now() });
+    if (platformUs > platformUsOf(journal.view())) dispatch({ type: 'time', at: clock.now(), platformUs });
+    dispatch({ type: 'tick', at: clock.now() });
   };
 
-  const ticks = openTicks(clock, () => journal.view().wakeUs, tick);
+  const tickScheduler = openTickScheduler(clock, () => journal.view().wakeUs, tick);
 
   spread.events.on('setup', (record) => {
-    tryChecks.configured(journal.view().record?.revision, record.revision);
-    take({ type: 'setup', at: clock.now(), record });
+    routingChecks.configured(journal.view().record?.revision, record.revision);
+    dispatch({ type: 'setup', at: clock.now(), record });
   });
-  spread.events.on('routers', (routers) => take({ type: 'fleet', at: clock.now(), routers }));
-  spread.events.on('time', (platformUs) => take({ type: 'time', at: clock.now(), platformUs }));
+  spread.events.on('routers', (routers) => dispatch({ type: 'fleet', at: clock.now(), routers }));
+  spread.events.on('time', (platformUs) => dispatch({ type: 'time', at: clock.now(), platformUs }));
   spread.events.on('list', (list) => {
-    take({ type: 'list', at: clock.now(), list });
-    signals.watch(list.servers);
+    dispatch({ type: 'list', at: clock.now(), list });
+    signals.setServers(list.servers);
     pool.retainOnly(new Set(list.servers.map(serverKeyOf)));
   });
   counters.gauge('exchanges.inFlight', () => slab.size());
@@ -476,28 +508,28 @@
   counters.gauge('setup.revision', () => journal.view().record?.revision ?? 0);
   counters.gauge('list.version', () => journal.view().list?.version ?? 0);
 
-  const nextName = (): string => {
+  const nextExchangeId = (): string => {
     exchangeCount += 1;
     return `${node}.${boot}.c${exchangeCount}`;
   };
 
   return {
     view: journal.view,
-    stories,
+    stories: traces,
     events: journal.events,
     inFlight: slab.size,
-    nextExchange: nextName,
-    accept: ({ rule: namedRule, body, opaque, caller, apiKey, access, quota, claimed }) => {
+    nextExchangeId: nextExchangeId,
+    accept: ({ rule: matchedRule, body, opaque, client: client, apiKey, access, quota, claimed }) => {
       const tier = access.type === 'tenant' ? access.tenant.tier : undefined;
       const service =
-        namedRule.split === undefined ? namedRule.service : shareOf(namedRule, opaque?.name ?? nextName());
-      const rule = { ...namedRule, service, tier: tier ?? namedRule.tier };
+        matchedRule.split === undefined ? matchedRule.service : shareOf(matchedRule, opaque?.name ?? nextExchangeId());
+      const rule = { ...matchedRule, service, tier: tier ?? matchedRule.tier };
       const isModel = journal.view().topology.services.get(rule.service)?.type === 'model';
-      const continuation = slab.put((ticket) => {
-        const exchange = claimed?.exchange ?? `${node}.${boot}.${ticketName(ticket)}`;
-        const watch = watchCaller(caller, { exchange, repeatable: rule.repeatable }, promises);
+      const continuation = slab.put((handle) => {
+        const exchange = claimed?.exchange ?? `${node}.${boot}.${handleText(handle)}`;
+        const monitor = monitorExchange(client, { exchange, repeatable: rule.repeatable }, guarantees);
         return {
-          ticket,
+          handle: handle,
           exchange,
           rule,
           isModel,
@@ -507,25 +539,25 @@
           body,
           opaque,
           dueUs: clock.now() + Math.min(rule.budgetUs, body.budgetUs ?? rule.budgetUs),
-          caller: watch.caller,
-          watch,
+          client: monitor.client,
+          watch: monitor,
           claimedKey: claimed?.key,
           stream: {
             pieces: 0,
             running: undefined,
             dueUs: Number.POSITIVE_INFINITY,
             lastPiece: opaque?.afterPiece,
-            refusal: undefined,
+            errorResponse: undefined,
           },
         };
       });
       const { exchange } = continuation;
-      tickets.set(exchange, continuation.ticket);
+      handles.set(exchange, continuation.handle);
       counters.count(`exchanges.kind.${rule.kind}`);
-      beginStory(exchange, rule);
-      if (quota.facts !== undefined) tell(exchange, 'quota', quota.facts);
-      caller.onGone(() => leave(continuation));
-      take({
+      beginTrace(exchange, rule);
+      if (quota.facts !== undefined) addStep(exchange, 'quota', quota.facts);
+      client.onGone(() => abandon(continuation));
+      dispatch({
         type: 'exchange',
         at: clock.now(),
         exchange,
@@ -539,23 +571,23 @@
           : { work: workOf(rule.service, opaque.opening, opaque.readTokens, opaque.writeTokens) }),
       });
     },
-    noteRefusal: (exchange, rule, { type }, facts = {}) => {
-      beginStory(exchange, rule);
-      tell(exchange, 'refuse', { error: type, ...facts });
+    recordRefusal: (exchange, rule, { type }, facts = {}) => {
+      beginTrace(exchange, rule);
+      addStep(exchange, 'refuse', { error: type, ...facts });
     },
-    drain: () => take({ type: 'drain', at: clock.now() }),
+    drain: () => dispatch({ type: 'drain', at: clock.now() }),
     start: () => {
-      take({ type: 'fleet', at: clock.now(), routers: spread.view().routers });
-      take({ type: 'node', at: clock.now(), node });
-      ticks.start();
+      dispatch({ type: 'fleet', at: clock.now(), routers: spread.view().routers });
+      dispatch({ type: 'node', at: clock.now(), node });
+      tickScheduler.start();
     },
     close: () => {
-      ticks.close();
+      tickScheduler.close();
       signals.close();
       pool.close();
       for (const continuation of slab.values()) {
-        end(continuation);
-        continuation.caller.breakOff();
+        endExchange(continuation);
+        continuation.client.breakOff();
       }
     },
   };
--- a/src/process/router/server-signals.ts
+++ b/src/process/router/server-signals.ts
@@ -12,56 +12,64 @@
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
 import type { SpreadTask } from '../spread-task.js';
-import { openFleetNews } from './fleet-news.js';
+import { openServerReports } from './server-reports.js';
 
-/** All that a router learns of servers beside the answers themselves, and what it tells other routers of it. */
+/**
+ * Collects health and load signals of servers: probes, failed attempts, reported loads and reports of other routers. Each goes
+ * to the decision machine, and own observations also to the other routers.
+ */
 export type ServerSignals = {
-  readonly watch: (servers: readonly ListedServer[]) => void;
-  /** No connection to a server came up. */
+  /** Replaces the set of servers that are probed. */
+  readonly setServers: (servers: readonly ListedServer[]) => void;
+  /** Reports a failed connection attempt to a server. */
   readonly unreachable: (server: ServerKey) => void;
-  /** Its connection was lost under an exchange: whether it can still be reached is found out. */
+  /** Reports a connection that was lost during an exchange; the passive watch, if used, then checks whether the server is reachable. */
   readonly suspect: (server: ServerKey) => void;
-  /** A try that was sent to it broke. */
-  readonly broke: (server: ServerKey) => void;
+  /** Reports an attempt that failed after it was sent. */
+  readonly reportFailure: (server: ServerKey) => void;
+  /** Reports the load that a server returned with a response. */
   readonly load: (server: ServerKey, load: ServerLoad) => void;
-  /** It was given so many tokens to read, and is then busy for so long. */
+  /** Reports `tokens` of prefill sent to a server, and the estimated time until it is free again. */
   readonly work: (server: ServerKey, service: string, tokens: number, busyUs: Micros) => void;
   readonly close: () => void;
 };
 
-export type ServerSignalsParts = {
+export type ServerSignalsDependencies = {
   readonly spread: SpreadTask;
   readonly clock: Clock;
   readonly dial: Dial;
+  /** Whether servers are not probed, but watched passively through their connections. */
   readonly probesNothing: boolean;
   readonly pool: LinkPool;
   readonly log: Log;
   readonly counters: Counters;
-  /** Tells the decision machine. */
-  readonly take: (event: DecisionEvent) => void;
+  /** Delivers an event to the decision machine. */
+  readonly dispatch: (event: DecisionEvent) => void;
 };
 
-/** Opens the signals of one router: its own probes or passive watch, and the news of the other routers. */
-export const openServerSignals = (parts: ServerSignalsParts): ServerSignals => {
-  const { spread, clock, dial, probesNothing, pool, log, counters, take } = parts;
-  const news = openFleetNews(spread, clock, counters);
+/** Opens the signals of one router, from its own prober or passive watch and from the reports of the other routers. */
+export const openServerSignals = (parts: ServerSignalsDependencies): ServerSignals => {
+  const { spread, clock, dial, probesNothing, pool, log, counters, dispatch: take } = parts;
+  const reports = openServerReports(spread, clock, counters);
 
-  const tellLight = (server: ServerKey, isLight: boolean): void => {
-    log.change(isLight ? 'server light' : 'server dark', { server });
-    if (!isLight && !probesNothing) pool.cut(server);
-    take({ type: isLight ? 'light' : 'dark', at: clock.now(), server });
+  const onReachabilityChange = (server: ServerKey, isReachable: boolean): void => {
+    log.change(isReachable ? 'server reachable' : 'server unreachable', { server });
+    if (!isReachable && !probesNothing) pool.cut(server);
+    take({ type: isReachable ? 'light' : 'dark', at: clock.now(), server });
   };
-  const passive = probesNothing ? openPassiveHealthCheck(dial, clock, tellLight, (link) => pool.keep(link)) : undefined;
-  const prober = passive ?? openProber(dial, clock, tellLight);
+  const passive = probesNothing
+    ? openPassiveHealthCheck(dial, clock, onReachabilityChange, (link) => pool.keep(link))
+    : undefined;
+  const prober = passive ?? openProber(dial, clock, onReachabilityChange);
 
-  const noteFailure = (server: ServerKey, cause: FailureCause): void => {
+  const reportFailure = (server: ServerKey, cause: FailureCause): void => {
     take({ type: 'failure', at: clock.now(), server, cause });
-    news.failure(server, cause);
+    reports.failure(server, cause);
   };
 
   spread.events.on('serverFailure', ({ server, cause }) => take({ type: 'failure', at: clock.now(), server, cause }));
   spread.events.on('serverLoad', ({ server, running, waiting, slots }) => {
-    news.heardLoad(server);
+    reports.noteLoadReport(server);
     take({ type: 'load', at: clock.now(), server, running, waiting, slots });
   });
   spread.events.on('work', ({ server, service, tokens }) =>
@@ -69,18 +77,18 @@
   );
 
   return {
-    watch: prober.setServers,
+    setServers: prober.setServers,
     unreachable: (server) => {
       passive?.reportDialFailure(server);
-      noteFailure(server, 'unreachable');
+      reportFailure(server, 'unreachable');
     },
     suspect: (server) => passive?.suspect(server),
-    broke: (server) => noteFailure(server, 'failed'),
+    reportFailure: (server) => reportFailure(server, 'failed'),
     load: (server, load) => {
       take({ type: 'load', at: clock.now(), server, ...load });
-      news.load(server, load);
+      reports.load(server, load);
     },
-    work: news.work,
+    work: reports.work,
     close: prober.close,
   };
 };
--- a/src/rehearsal/checker/broken-promises.ts
+++ b/src/rehearsal/checker/broken-promises.ts
@@ -1,9 +1,9 @@
 import { readFileSync } from 'node:fs';
-import { brokenPromise } from '../../router/promises/promise-checks.js';
+import { violationMessage } from '../../router/guarantees/guarantee-monitor.js';
 import type { Finding } from './finding.js';
 
 /** What a process logs when it finds one of its own promises, or a rule of its log, broken, or meets a bug. */
-const alarms = [brokenPromise, 'invariant broken', 'unexpected exception'] as const;
+const alarms = [violationMessage, 'invariant broken', 'unexpected exception'] as const;
 
 const mostDetail = 300;
 
--- a/src/rehearsal/stand-in/caller.ts
+++ b/src/rehearsal/stand-in/caller.ts
@@ -4,7 +4,7 @@
 import { parseJson } from '../../common/json.js';
 import { steadyNow, toMillis, type Micros } from '../../common/micros.js';
 import { messageOf } from '../../common/typed-error.js';
-import { parseStreamLine } from '../../router/delivery/piece.js';
+import { parseStreamLine } from '../../router/delivery/stream-line.js';
 import type { CallEnd, CallRecord } from '../history/call-record.js';
 import type { History } from '../history/history.js';
 import type { RehearsedNode } from './platform.js';
--- a/src/router/access/access.ts
+++ b/src/router/access/access.ts
@@ -3,17 +3,17 @@
 import type { Tenant } from '../../setup/document/tenant.js';
 import { tenantOfKey } from '../../setup/match/tenant-of-key.js';
 
-/** Who a request comes from, as far as the configuration tells. */
+/** The result of authenticating a request. */
 export type Access =
-  /** The configuration has no tenants: whatever key a request carries is not looked at. */
+  /** The configuration has no tenants; API keys are ignored. */
   | { readonly type: 'open' }
-  /** The route is public, and the request carries no key of a tenant. */
+  /** The rule is public, and the request carries no tenant's key. */
   | { readonly type: 'anonymous' }
   | { readonly type: 'tenant'; readonly tenant: Tenant }
-  /** The request needs the key of a tenant and has none. */
+  /** The rule requires a tenant's key, and the request carries none. */
   | { readonly type: 'denied' };
 
-/** Authenticates a request by its API key, under one configuration. */
+/** Authenticates a request by its API key against one configuration. */
 export const accessOf = (
   setup: Pick<Setup, 'tenants'>,
   rule: Pick<Rule, 'public'>,
@@ -25,10 +25,10 @@
   return rule.public === true ? { type: 'anonymous' } : { type: 'denied' };
 };
 
-/** The name of the tenant that a request comes from, if it comes from one. */
+/** The name of the authenticated tenant, if any. */
 export const tenantNameOf = (access: Access): string | undefined =>
   access.type === 'tenant' ? access.tenant.name : undefined;
 
-/** Whether two looks at one request found the same caller: the same tenant, or none both times. */
-export const isSameCaller = (first: Access, second: Access): boolean =>
+/** Whether two authentications of one request gave the same tenant, or no tenant both times; false once the second is denied. */
+export const isSameTenant = (first: Access, second: Access): boolean =>
   second.type !== 'denied' && tenantNameOf(first) === tenantNameOf(second);
--- a/src/router/access/bearer-token.ts
+++ b/src/router/access/bearer-token.ts
@@ -1,5 +1,5 @@
-const bearerForm = /^bearer +(\S+) *$/i;
+const bearerPattern = /^bearer +(\S+) *$/i;
 
-/** The token of an `Authorization: Bearer` header; none where the header is absent or of another scheme. */
+/** The token of an `Authorization: Bearer` header; undefined if the header is absent or uses another scheme. */
 export const bearerTokenOf = (authorization: string | undefined): string | undefined =>
-  authorization === undefined ? undefined : bearerForm.exec(authorization)?.[1];
+  authorization === undefined ? undefined : bearerPattern.exec(authorization)?.[1];
--- a/src/router/access/quota-cost.ts
+++ b/src/router/access/quota-cost.ts
@@ -1,5 +1,5 @@
 import type { Quota } from '../../setup/document/quota.js';
 
-/** What a request costs of a quota: one, or the tokens that it tells, or those that stand for a request that tells none. */
-export const quotaCostOf = ({ unit, defaultTokens }: Quota, toldTokens: number | undefined): number =>
-  unit === 'requests' ? 1 : (toldTokens ?? defaultTokens);
+/** The cost of a request in units of its quota: 1 per request, or its declared tokens, or the default for undeclared tokens. */
+export const quotaCostOf = ({ unit, defaultTokens }: Quota, declaredTokens: number | undefined): number =>
+  unit === 'requests' ? 1 : (declaredTokens ?? defaultTokens);
--- a/src/router/delivery/deliver.ts
+++ b/src/router/delivery/deliver.ts
@@ -4,30 +4,30 @@
 import type { ServerLink } from '../../servers/link/server-link.js';
 import type { Continuation } from '../exchange/continuation.js';
 import type { DeliveryListener } from './delivery-listener.js';
-import type { DeliveryEnd } from './delivery-end.js';
-import { parseStreamLine } from './piece.js';
+import type { DeliveryResult } from './delivery-result.js';
+import { parseStreamLine } from './stream-line.js';
 
-const mostReceiptBytes = 8 << 20;
-const mostLineBytes = 1 << 20;
+const maxResponseChars = 8 << 20;
+const maxLineChars = 1 << 20;
 
-const failed = (error: DeliveryError, message: string): DeliveryEnd => ({ type: 'failed', error, message });
+const failed = (error: DeliveryError, message: string): DeliveryResult => ({ type: 'failed', error, message });
 
-/** Whether nothing more comes. */
-const endOf = (body: AsyncIterator<string>): Promise<boolean> =>
+/** Resolves to whether the body ends here; false if more data follows or reading fails. */
+const isAtEnd = (body: AsyncIterator<string>): Promise<boolean> =>
   body.next().then(
     (next) => next.done === true,
     () => false,
   );
 
-/** The lines of a body as they come whole. */
+/** The non-empty lines of a body; undefined in place of a line beyond the size limit. */
 const linesOf = async function* (body: AsyncIterator<string>): AsyncGenerator<string | undefined> {
   let rest = '';
   for (let next = await body.next(); next.done !== true; next = await body.next()) {
     rest += next.value;
-    if (rest.length > mostLineBytes) yield undefined;
-    for (let breakPlace = rest.indexOf('\n'); breakPlace >= 0; breakPlace = rest.indexOf('\n')) {
-      const line = rest.slice(0, breakPlace);
-      rest = rest.slice(breakPlace + 1);
+    if (rest.length > maxLineChars) yield undefined;
+    for (let newlineIndex = rest.indexOf('\n'); newlineIndex >= 0; newlineIndex = rest.indexOf('\n')) {
+      const line = rest.slice(0, newlineIndex);
+      rest = rest.slice(newlineIndex + 1);
       if (line !== '') yield line;
     }
   }
@@ -37,44 +37,44 @@
   continuation: Continuation,
   body: AsyncIterator<string>,
   listener: DeliveryListener,
-): Promise<DeliveryEnd> => {
+): Promise<DeliveryResult> => {
   const lines = linesOf(body);
   for (let next = await lines.next(); next.done !== true; next = await lines.next()) {
     const line = next.value;
     const streamLine = line === undefined ? undefined : parseStreamLine(line);
-    if (streamLine === undefined) return failed('bad-stream', 'a line of the stream is too long or of no known form');
+    if (streamLine === undefined) return failed('bad-stream', 'malformed or oversized line in the stream');
     if (streamLine.type === 'end')
       return streamLine.pieces === continuation.stream.pieces
-        ? { type: 'done', rest: endOf(body) }
+        ? { type: 'done', rest: isAtEnd(body) }
         : failed(
             'bad-stream',
-            `the stream ended after ${streamLine.pieces} pieces, ${continuation.stream.pieces} were given on`,
+            `the end marker counts ${streamLine.pieces} pieces, but ${continuation.stream.pieces} were forwarded`,
           );
     if (streamLine.piece !== continuation.stream.pieces)
-      return failed('bad-stream', `piece ${continuation.stream.pieces} was due, ${streamLine.piece} came`);
+      return failed('bad-stream', `expected piece ${continuation.stream.pieces}, got piece ${streamLine.piece}`);
     if (!(await listener.piece(`${line}\n`))) return { type: 'gone' };
   }
   return failed('link-lost', 'the stream broke off before its end');
 };
 
-const readReceipt = async (body: AsyncIterator<string>, listener: DeliveryListener): Promise<DeliveryEnd> => {
+const readWholeResponse = async (body: AsyncIterator<string>, listener: DeliveryListener): Promise<DeliveryResult> => {
   let text = '';
   for (let next = await body.next(); next.done !== true; next = await body.next()) {
     text += next.value;
-    if (text.length > mostReceiptBytes) return failed('bad-stream', 'the answer is too large');
+    if (text.length > maxResponseChars) return failed('bad-stream', 'the response exceeds the size limit');
   }
   listener.receipt(text);
   return { type: 'done', rest: Promise.resolve(true) };
 };
 
-/** Runs one try of an exchange over one confirmed link. After a failure the link is closed. */
+/** Runs one attempt of an exchange over a connection whose server is identified. The link is closed unless the attempt is done. */
 export const deliver = async (
   continuation: Continuation,
   link: ServerLink,
   fromPiece: number,
   signal: AbortSignal,
   listener: DeliveryListener,
-): Promise<DeliveryEnd> => {
+): Promise<DeliveryResult> => {
   try {
     const { status, body } = await link.deliver(
       {
@@ -92,11 +92,13 @@
       link.close();
       return failed(status === 503 || status === 429 ? 'turned-away' : 'server-error', `status ${status}`);
     }
-    const end = await (continuation.isModel ? readStream(continuation, body, listener) : readReceipt(body, listener));
+    const end = await (continuation.isModel
+      ? readStream(continuation, body, listener)
+      : readWholeResponse(body, listener));
     if (end.type !== 'done') link.close();
     return end;
-  } catch (thrown) {
+  } catch (error) {
     link.close();
-    return failed('link-lost', messageOf(thrown));
+    return failed('link-lost', messageOf(error));
   }
 };
--- a/src/router/delivery/carry.ts
+++ b/src/router/delivery/forward-opaque.ts
@@ -4,41 +4,44 @@
 import type { OpaqueRequest } from '../../servers/link/opaque-request.js';
 import type { ServerLink } from '../../servers/link/server-link.js';
 import type { Continuation } from '../exchange/continuation.js';
-import type { DeliveryEnd } from './delivery-end.js';
+import type { DeliveryResult } from './delivery-result.js';
 
-/** What a try of an opaque exchange tells while it runs. */
-export type CarryEvents = {
-  /** The first sign that the server works on it, or a further one. */
+/** Callbacks of an attempt of an opaque exchange while it runs. */
+export type ForwardListener = {
+  /** The response has begun, or a further piece of it was forwarded. */
   readonly piece: () => void;
-  /** The server has told its load. */
+  /** The server reported its load in the response headers. */
   readonly load: (load: ServerLoad) => void;
 };
 
-/** Receipts up to this size are taken in whole before any of it is given on, so that a broken one can be tried again. */
-const mostWholeBytes = 1 << 18;
+/** Unstreamed responses up to this size are buffered whole before they are forwarded, so that a broken one can be retried. */
+const maxBufferedBytes = 1 << 18;
 
 const isSuccess = (head: OpaqueResponseHead): boolean => head.status >= 200 && head.status < 300;
 
-/** Runs one try of an opaque exchange over one link. After an error the link is closed. */
-export const carry = (
+/**
+ * Runs one attempt of an opaque exchange over one link: forwards the response as it arrives, without parsing it. The link is
+ * closed unless the attempt is done.
+ */
+export const forwardOpaque = (
   continuation: Continuation,
   link: ServerLink,
-  carryOver: NonNullable<ServerLink['forward']>,
+  startCarriage: NonNullable<ServerLink['forward']>,
   order: OpaqueRequest,
   signal: AbortSignal,
-  { piece: tellPiece, load: tellLoad }: CarryEvents,
-): Promise<DeliveryEnd> =>
+  { piece: onPiece, load: onLoad }: ForwardListener,
+): Promise<DeliveryResult> =>
   new Promise((resolve) => {
-    const { caller, stream, rule } = continuation;
+    const { client: caller, stream, rule } = continuation;
     const { opaque } = caller;
-    const keptBytes: Uint8Array[] = [];
-    let keptSize = 0;
+    const buffered: Uint8Array[] = [];
+    let bufferedBytes = 0;
     let head: OpaqueResponseHead | undefined;
-    let isPassing = false;
-    let isOver = false;
-    const finish = (end: DeliveryEnd): void => {
-      if (isOver) return;
-      isOver = true;
+    let isForwarding = false;
+    let hasEnded = false;
+    const finish = (end: DeliveryResult): void => {
+      if (hasEnded) return;
+      hasEnded = true;
       signal.removeEventListener('abort', abort);
       if (end.type !== 'done') link.close();
       resolve(end);
@@ -52,70 +55,70 @@
     const write = (bytes: Uint8Array): void => {
       if (opaque === undefined || opaque.write(bytes)) return;
       carriage.pause();
-      opaque.onRoom(() => carriage.resume());
+      opaque.onDrain(() => carriage.resume());
     };
-    const pass = (passedHead: OpaqueResponseHead): void => {
-      isPassing = true;
-      if (stream.pieces === 0) opaque?.begin(passedHead);
-      for (const bytes of keptBytes.splice(0)) write(bytes);
+    const startForwarding = (passedHead: OpaqueResponseHead): void => {
+      isForwarding = true;
+      if (stream.pieces === 0) opaque?.writeHead(passedHead);
+      for (const bytes of buffered.splice(0)) write(bytes);
     };
-    const carriage = carryOver(order, {
+    const carriage = startCarriage(order, {
       head: (given) => {
-        if (isOver) return;
+        if (hasEnded) return;
         head = given;
-        if (given.load !== undefined) tellLoad(given.load);
+        if (given.load !== undefined) onLoad(given.load);
         if (!given.ran) return;
         if (!isSuccess(given)) return;
         if (!given.sealed) {
           carriage.cancel();
-          fail('bad-stream', 'a success without the mark of its server');
+          fail('bad-stream', 'success response without the seal of its server');
         }
       },
       piece: (bytes, number) => {
-        if (isOver || head === undefined) return;
+        if (hasEnded || head === undefined) return;
         if (isSuccess(head) && head.ran && rule.streams === true) {
-          if (!isPassing) pass(head);
+          if (!isForwarding) startForwarding(head);
           if (number !== undefined && stream.lastPiece !== undefined && number <= stream.lastPiece) {
             carriage.cancel();
-            fail('bad-stream', `piece ${number} came after piece ${stream.lastPiece}`);
+            fail('bad-stream', `piece ${number} received after piece ${stream.lastPiece}`);
             return;
           }
           stream.lastPiece = number ?? stream.lastPiece;
           stream.pieces += 1;
           write(bytes);
-          tellPiece();
+          onPiece();
           return;
         }
-        if (isPassing) {
+        if (isForwarding) {
           write(bytes);
           return;
         }
-        keptBytes.push(bytes);
-        keptSize += bytes.length;
-        if (keptSize <= mostWholeBytes) return;
+        buffered.push(bytes);
+        bufferedBytes += bytes.length;
+        if (bufferedBytes <= maxBufferedBytes) return;
         if (isSuccess(head) && head.ran) {
-          pass(head);
+          startForwarding(head);
           stream.pieces += 1;
-          tellPiece();
+          onPiece();
         } else {
           carriage.cancel();
-          fail('server-error', 'a refusal of no end');
+          fail('server-error', 'error response exceeds the buffer limit');
         }
       },
       end: () => {
-        if (isOver || head === undefined) return;
+        if (hasEnded || head === undefined) return;
         if (!head.ran) {
           fail('turned-away', `status ${head.status}`, true);
           return;
         }
         if (!isSuccess(head)) {
-          stream.refusal = { head, body: Buffer.concat(keptBytes) };
+          stream.errorResponse = { head, body: Buffer.concat(buffered) };
           fail('server-error', `status ${head.status}`);
           return;
         }
-        if (isPassing) opaque?.end();
+        if (isForwarding) opaque?.end();
         else if (stream.pieces > 0) opaque?.end();
-        else opaque?.whole(head, Buffer.concat(keptBytes));
+        else opaque?.whole(head, Buffer.concat(buffered));
         finish({ type: 'done', rest: Promise.resolve(true) });
       },
       lost: (message) => fail('link-lost', message),
--- a/src/router/exchange/continuation.ts
+++ b/src/router/exchange/continuation.ts
@@ -1,41 +1,44 @@
 import type { Access } from '../access/access.js';
 import type { OpaqueExchange } from '../opaque/opaque-exchange.js';
-import type { ReceiptHead } from '../opaque/receipt-head.js';
+import type { ResponseHead } from '../opaque/response-head.js';
 import type { Micros } from '../../common/micros.js';
 import type { Rule } from '../../setup/document/rule.js';
-import type { CallerLink } from '../delivery/caller-link.js';
-import type { WatchedCaller } from '../promises/watched-caller.js';
-import type { Ticket } from '../slab/ticket.js';
+import type { ClientLink } from '../delivery/client-link.js';
+import type { ExchangeMonitor } from '../guarantees/exchange-monitor.js';
+import type { SlabHandle } from '../slab/slab-handle.js';
 import type { ExchangeBody } from './exchange-body.js';
 import type { QuotaHold } from './quota-hold.js';
-import type { RunningTry } from './running-try.js';
+import type { RunningAttempt } from './running-attempt.js';
 
-/** All that is needed to go on with an exchange when word of it comes. */
+/** The state of an exchange in flight, kept until its response is complete. An exchange is one client request with its response. */
 export type Continuation = {
-  readonly ticket: Ticket;
+  readonly handle: SlabHandle;
   readonly exchange: string;
   readonly rule: Rule;
   readonly isModel: boolean;
-  /** The API key that it came with, and whom that key was found to belong to. */
+  /** The API key of the request, and the result of authenticating it at admission. */
   readonly apiKey: string | undefined;
   readonly access: Access;
   readonly quota: QuotaHold;
   readonly body: ExchangeBody;
   readonly opaque: OpaqueExchange | undefined;
+  /** When the exchange's time budget ends. */
   readonly dueUs: Micros;
-  readonly caller: CallerLink;
-  /** What looks at the answer and the tries of this exchange. */
-  readonly watch: WatchedCaller;
-  /** The key that was claimed for it, if any. */
+  readonly client: ClientLink;
+  /** Checks the guarantees on the answer and the attempts of this exchange; it wraps `client`. */
+  readonly watch: ExchangeMonitor;
+  /** The hash of the idempotency key that was claimed for it, if any. */
   readonly claimedKey: string | undefined;
-  /** `dueUs` is when the running try counts as silent unless its next piece has come. */
+  /** The state of the response. */
   readonly stream: {
+    /** The number of pieces that were forwarded. */
     pieces: number;
-    running: RunningTry | undefined;
+    running: RunningAttempt | undefined;
+    /** When the running attempt counts as silent unless another piece arrives. */
     dueUs: Micros;
-    /** The number of the last piece that was given on, where pieces bear numbers of their own. */
+    /** The number of the last forwarded piece, if the server numbers its pieces. */
     lastPiece: number | undefined;
-    /** The last whole receipt of a server that was no success. */
-    refusal: { readonly head: ReceiptHead; readonly body: Uint8Array } | undefined;
+    /** The last complete error response of a server. */
+    errorResponse: { readonly head: ResponseHead; readonly body: Uint8Array } | undefined;
   };
 };
--- a/src/router/exchange/exchange-body.ts
+++ b/src/router/exchange/exchange-body.ts
@@ -1,6 +1,9 @@
 import { number, object, string, type InferType } from 'yup';
 
-/** What a caller sends. */
+/**
+ * The JSON body of a request. `kind` selects the rule; `opening` is the prompt prefix, whose prefill can be reused;
+ * `tokens` is the declared cost under a quota of tokens.
+ */
 export const exchangeBodySchema = object({
   kind: string().required().max(63),
   opening: string().optional(),
--- a/src/router/exchange/quota-hold.ts
+++ b/src/router/exchange/quota-hold.ts
@@ -1,25 +1,25 @@
-/** What one request has spent of its tenant's quota, from its admission to its end. */
+/** The quota that one request has spent, from its admission to its end. */
 export type QuotaHold = {
-  /** A try is sent to a server: the first one uses what was spent, each further one is charged anew. */
+  /** Notes that an attempt is sent: the first uses what was spent at admission, each further one is charged again. */
   readonly sent: () => void;
-  /** A server has said that it did not run the try that was sent last. */
+  /** Notes that the server confirmed it did not run the last attempt; the next one is not charged again. */
   readonly notRun: () => void;
-  /** The request has ended; what was spent and not used is given back. */
+  /** Ends the hold; the cost is refunded unless an attempt may have used it. */
   readonly end: () => void;
-  /** For the story of the request; none where no quota counts it. */
+  /** For the request's trace; undefined if no quota applies. */
   readonly facts?: { readonly tenant: string; readonly cost: number; readonly source: string };
 };
 
-/** The hold of a request that no quota counts. */
-export const freeHold: QuotaHold = { sent: () => undefined, notRun: () => undefined, end: () => undefined };
+/** The hold of a request to which no quota applies. */
+export const unmeteredHold: QuotaHold = { sent: () => undefined, notRun: () => undefined, end: () => undefined };
 
-/** What a hold asks of the reserves. */
+/** The operations on a router's token reserves that a hold needs. */
 export type QuotaAccount = {
   readonly refund: (tenant: string, tokens: number) => void;
   readonly charge: (tenant: string, tokens: number) => void;
 };
 
-/** Opens the hold of a request whose cost has been spent. */
+/** Opens the hold of a request whose cost has already been spent. */
 export const openQuotaHold = (account: QuotaAccount, facts: NonNullable<QuotaHold['facts']>): QuotaHold => {
   const { tenant, cost } = facts;
   let isUnused = true;
--- a/src/router/exchange/running-try.ts
+++ b/src/router/exchange/running-attempt.ts
@@ -1,7 +1,7 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 
-/** The try of an exchange that runs now. */
-export type RunningTry = {
+/** The current attempt of an exchange at a server. */
+export type RunningAttempt = {
   readonly attempt: number;
   readonly server: ServerKey;
   readonly cancel: () => void;
--- a/src/router/explain/exchange-story.ts
+++ b/src/router/explain/exchange-trace.ts
@@ -1,19 +1,19 @@
 import type { Micros } from '../../common/micros.js';
 
-/** One thing that happened to an exchange. */
-export type StoryStep = {
+/** One event of an exchange: `what` is its kind, `facts` its attributes. */
+export type TraceStep = {
   readonly at: Micros;
   readonly what: string;
   readonly facts: object;
 };
 
-/** Why an exchange went where it went, step by step. */
-export type ExchangeStory = {
+/** The routing decisions and results of one exchange in order, under the revisions that applied when it was accepted. */
+export type ExchangeTrace = {
   readonly exchange: string;
   readonly kind: string;
   readonly tier: string;
   readonly service: string;
   readonly setupRevision: number;
   readonly listVersion: number;
-  readonly steps: readonly StoryStep[];
+  readonly steps: readonly TraceStep[];
 };
--- a/src/router/explain/saved-journal.ts
+++ b/src/router/explain/saved-journal.ts
@@ -3,8 +3,8 @@
 import { checked } from '../../common/checked.js';
 import { parseJson } from '../../common/json.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
-import type { ExchangeStory } from './exchange-story.js';
-import { storySchema } from './story-schema.js';
+import type { ExchangeTrace } from './exchange-trace.js';
+import { traceSchema } from './trace-schema.js';
 
 const headSchema = object({ journal: string().required().oneOf(['ledgehill']), node: string().required() })
   .required()
@@ -13,44 +13,45 @@
   .required()
   .noUnknown();
 
-/** A node's journal of exchanges as text: a head, one story a line, and an end that counts them. */
-export const journalTextOf = (node: string, stories: readonly ExchangeStory[]): string =>
-  [{ journal: 'ledgehill', node }, ...stories, { end: true, stories: stories.length }]
+/** A node's traces as JSON lines: a header, one trace a line, and a trailer with their count. */
+export const journalTextOf = (node: string, traces: readonly ExchangeTrace[]): string =>
+  [{ journal: 'ledgehill', node }, ...traces, { end: true, stories: traces.length }]
     .map((line) => `${JSON.stringify(line)}\n`)
     .join('');
 
-const damaged = (line: number, message: string): TypedError => typedError('bad-journal', `line ${line}: ${message}`);
+const journalError = (line: number, message: string): TypedError =>
+  typedError('bad-journal', `line ${line}: ${message}`);
 
-/** Reads a saved journal; one that was cut short or changed is an error that names the line. */
-export const readJournal = (text: string): Either<TypedError, readonly ExchangeStory[]> => {
+/** Parses a saved journal; an error names the first line that is malformed, or the last if the journal is truncated. */
+export const readJournal = (text: string): Either<TypedError, readonly ExchangeTrace[]> => {
   const lines = text.split('\n');
-  if (lines.pop() !== '') return Left(damaged(lines.length + 1, 'the last line is not whole'));
+  if (lines.pop() !== '') return Left(journalError(lines.length + 1, 'the last line is not whole'));
   const parsed = lines.map((line) => parseJson(line, 'bad-journal'));
-  const broken = parsed.findIndex((line) => line.isLeft());
-  if (broken >= 0) return Left(damaged(broken + 1, 'not JSON'));
+  const malformed = parsed.findIndex((line) => line.isLeft());
+  if (malformed >= 0) return Left(journalError(malformed + 1, 'not JSON'));
   const values = parsed.map((line) => line.unsafeCoerce());
-  if (checked(headSchema, values[0]).isLeft()) return Left(damaged(1, 'this is not the head of a ledgehill journal'));
-  const storyValues = values.slice(1, -1);
-  const stories: ExchangeStory[] = [];
-  for (const [place, value] of storyValues.entries()) {
-    const story = checked(storySchema, value);
-    if (story.isLeft())
+  if (checked(headSchema, values[0]).isLeft()) return Left(journalError(1, 'not the header of a ledgehill journal'));
+  const traceValues = values.slice(1, -1);
+  const traces: ExchangeTrace[] = [];
+  for (const [index, value] of traceValues.entries()) {
+    const trace = checked(traceSchema, value);
+    if (trace.isLeft())
       return Left(
-        damaged(
-          place + 2,
-          story
+        journalError(
+          index + 2,
+          trace
             .extract()
             .map((fault) => `${fault.path}: ${fault.message}`)
             .join('; '),
         ),
       );
-    story.ifRight((read) => stories.push(read));
+    trace.ifRight((validTrace) => traces.push(validTrace));
   }
   return checked(endSchema, values[values.length - 1])
-    .mapLeft(() => damaged(lines.length, 'the end is missing: the journal was cut short'))
+    .mapLeft(() => journalError(lines.length, 'trailer missing: the journal is truncated'))
     .chain((end) =>
-      end.stories === stories.length
-        ? Right(stories)
-        : Left(damaged(lines.length, `${end.stories} stories should be there, ${stories.length} are`)),
+      end.stories === traces.length
+        ? Right(traces)
+        : Left(journalError(lines.length, `${end.stories} stories should be there, ${traces.length} are`)),
     );
 };
--- a/src/router/explain/story-schema.ts
+++ b/src/router/explain/trace-schema.ts
@@ -1,7 +1,7 @@
 import { array, number, object, string } from 'yup';
 
-/** The form of a story as it travels and as it is saved. */
-export const storySchema = object({
+/** The JSON form of a trace, over HTTP and in saved journals. */
+export const traceSchema = object({
   exchange: string().required(),
   kind: string().required(),
   tier: string().required(),
--- a/src/router/opaque/opaque-exchange.ts
+++ b/src/router/opaque/opaque-exchange.ts
@@ -1,27 +1,28 @@
 import type { Micros } from '../../common/micros.js';
 import type { OpeningPart } from './opening-part.js';
 
-/** An exchange whose text passes unread: only what decides its way is known of it. */
+/** An exchange whose body is forwarded unparsed; only the fields needed for routing are known. */
 export type OpaqueExchange = {
-  /** The caller's own name for it. */
+  /** The exchange id that the client chose. */
   readonly name: string;
   readonly host: string;
-  /** The path without what follows a question mark. */
+  /** The path without the query. */
   readonly path: string;
   readonly method: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   readonly target: string;
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** The API key that it carries; it is never logged, and never passed on where the configuration has tenants. */
+  /** The API key of the request; never logged, and never forwarded if the configuration has tenants. */
   readonly apiKey?: string;
-  /** The last piece that its caller has, where a stream is taken up again. */
+  /** The number of the last piece that the client received, if it resumes a stream. */
   readonly afterPiece: number | undefined;
-  /** The parts of its opening in order; the last one is its own or its session's. */
+  /** The parts of the prompt prefix in order; the last is specific to the exchange or its session. */
   readonly opening: readonly OpeningPart[];
+  /** Input and output tokens that the client declared, 0 where it declared none. */
   readonly readTokens: number;
   readonly writeTokens: number;
-  /** The tokens that it tells, read and written together; none where it tells none. */
-  readonly toldTokens?: number;
+  /** The sum of input and output tokens that the client declared, if any. */
+  readonly declaredTokens?: number;
   readonly budgetUs: Micros;
 };
--- a/src/router/opaque/opening-part.ts
+++ b/src/router/opaque/opening-part.ts
@@ -1,4 +1,4 @@
-/** One shared part of an opening and its size in tokens. */
+/** One part of a prompt prefix, which other exchanges may share, and its size in tokens. */
 export type OpeningPart = {
   readonly part: string;
   readonly tokens: number;
--- a/src/router/slab/slab.ts
+++ b/src/router/slab/slab.ts
@@ -1,38 +1,41 @@
-import type { Ticket } from './ticket.js';
+import type { SlabHandle } from './slab-handle.js';
 
-/** Continuations by ticket; places are used again, tickets never. */
+/** Storage with slot reuse (a generational arena): slots are reused, handles never are. */
 export type Slab<T> = {
-  readonly put: (make: (ticket: Ticket) => T) => T;
-  readonly get: (ticket: Ticket) => T | undefined;
-  readonly free: (ticket: Ticket) => void;
+  /** Stores the value that `make` returns for the new handle. */
+  readonly put: (make: (handle: SlabHandle) => T) => T;
+  /** The value of a handle; undefined once it was freed. */
+  readonly get: (handle: SlabHandle) => T | undefined;
+  /** Frees the slot of a handle; no effect if the handle is stale. */
+  readonly free: (handle: SlabHandle) => void;
   readonly size: () => number;
   readonly values: () => readonly T[];
 };
 
-type Place<T> = { readonly generation: number; readonly value: T | undefined };
+type Slot<T> = { readonly generation: number; readonly value: T | undefined };
 
 export const openSlab = <T>(): Slab<T> => {
-  const places: Place<T>[] = [];
+  const slots: Slot<T>[] = [];
   const freeIndexes: number[] = [];
   return {
     put: (make) => {
-      const index = freeIndexes.pop() ?? places.length;
-      const generation = (places[index]?.generation ?? 0) + 1;
+      const index = freeIndexes.pop() ?? slots.length;
+      const generation = (slots[index]?.generation ?? 0) + 1;
       const value = make({ index, generation });
-      places[index] = { generation, value };
+      slots[index] = { generation, value };
       return value;
     },
-    get: (ticket) => {
-      const place = places[ticket.index];
-      return place?.generation === ticket.generation ? place.value : undefined;
+    get: (handle) => {
+      const place = slots[handle.index];
+      return place?.generation === handle.generation ? place.value : undefined;
     },
-    free: (ticket) => {
-      const place = places[ticket.index];
-      if (place?.generation !== ticket.generation || place.value === undefined) return;
-      places[ticket.index] = { generation: place.generation, value: undefined };
-      freeIndexes.push(ticket.index);
+    free: (handle) => {
+      const slot = slots[handle.index];
+      if (slot?.generation !== handle.generation || slot.value === undefined) return;
+      slots[handle.index] = { generation: slot.generation, value: undefined };
+      freeIndexes.push(handle.index);
     },
-    size: () => places.length - freeIndexes.length,
-    values: () => places.flatMap((place) => (place.value === undefined ? [] : [place.value])),
+    size: () => slots.length - freeIndexes.length,
+    values: () => slots.flatMap((slot) => (slot.value === undefined ? [] : [slot.value])),
   };
 };
--- a/src/servers/link/opaque-response-head.ts
+++ b/src/servers/link/opaque-response-head.ts
@@ -1,8 +1,8 @@
 import type { ServerLoad } from '../../decision/health/server-load.js';
-import type { ReceiptHead } from '../../router/opaque/receipt-head.js';
+import type { ResponseHead } from '../../router/opaque/response-head.js';
 
 /** The head of a server's response to an opaque exchange, and what its headers state about the exchange. */
-export type OpaqueResponseHead = ReceiptHead & {
+export type OpaqueResponseHead = ResponseHead & {
   /** False only if the server states that the exchange did not run and never will, so that it can be retried safely. */
   readonly ran: boolean;
   /** Whether the response carries the server's seal header; a success without it is rejected. */
--- a/src/sim/core/core-rules.ts
+++ b/src/sim/core/core-rules.ts
@@ -1,7 +1,7 @@
 import type { Replica } from '../../control/machine/replica.js';
 import { stateDigestOf } from '../../control/state/state-digest.js';
 import type { Log } from '../../process/log.js';
-import { brokenPromise } from '../../router/promises/promise-checks.js';
+import { violationMessage } from '../../router/guarantees/guarantee-monitor.js';
 import type { World } from '../world/world.js';
 
 /** What a run of the core must never show, gathered as it goes. */
@@ -48,7 +48,7 @@
           oneEach(leaderOfTerm, Number(facts['term']), identity(), 'term');
         if (what === 'setup in force')
           oneEach(nameOfRevision, Number(facts['revision']), String(facts['name']), 'revision');
-        if (what === brokenPromise) breakRule(`${identity()} broke a promise: ${JSON.stringify(facts)}`);
+        if (what === violationMessage) breakRule(`${identity()} broke a promise: ${JSON.stringify(facts)}`);
       },
     }),
   };
--- a/src/sim/fleet/sim-callers.ts
+++ b/src/sim/fleet/sim-callers.ts
@@ -3,7 +3,7 @@
 import type { Call } from '../../rehearsal/stand-in/caller.js';
 import { toRetrySeconds } from '../../common/micros.js';
 import { writeWorkText } from '../../rehearsal/stand-in/work-text.js';
-import { parseStreamLine } from '../../router/delivery/piece.js';
+import { parseStreamLine } from '../../router/delivery/stream-line.js';
 import type { SimFleet } from './sim-fleet.js';
 import { usualKinds, type SimKind } from './sim-kinds.js';
 import type { SimCaller, SimRouter } from './sim-router.js';
--- a/src/sim/fleet/sim-router.ts
+++ b/src/sim/fleet/sim-router.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
 import type { Log } from '../../process/log.js';
 import { openRouterNode, type RouterNode } from '../../process/router/router-node.js';
-import type { CallerLink } from '../../router/delivery/caller-link.js';
+import type { ClientLink } from '../../router/delivery/client-link.js';
 import { openSimNode, type SimNode } from '../process/sim-node.js';
 import { simSurroundingsOf, type SimCommons } from '../process/sim-surroundings.js';
 
@@ -23,7 +23,7 @@
 };
 
 /** A caller's end of its link, which also hears when the node is gone. */
-export type SimCaller = CallerLink & { readonly isEnded: () => boolean; readonly lose: () => void };
+export type SimCaller = ClientLink & { readonly isEnded: () => boolean; readonly lose: () => void };
 
 export type SimRouterPlan = {
   readonly name: string;
@@ -53,7 +53,7 @@
     address,
     node,
     tasks: () => tasks,
-    isReady: () => tasks !== undefined && tasks.unready() === undefined,
+    isReady: () => tasks !== undefined && tasks.unreadyReason() === undefined,
     accept: (body, key, caller) => {
       const present = tasks;
       if (present === undefined) {
@@ -62,7 +62,7 @@
       }
       for (const known of openCallers) if (known.isEnded()) openCallers.delete(known);
       openCallers.add(caller);
-      node.hear(() => void present.arrive(Right(body), key, caller));
+      node.hear(() => void present.admit(Right(body), key, caller));
     },
     start: () => {
       if (node.isUp()) return;
--- a/tests/control/operator.test.ts
+++ b/tests/control/operator.test.ts
@@ -10,7 +10,7 @@
 import { openOperatorService } from '../../src/process/operator/operator-service.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
-import { bareCore } from '../router/loopback.js';
+import { inMemoryCore } from '../router/loopback.js';
 
 type Told = { readonly status: number; readonly etag: unknown; readonly text: string };
 
@@ -49,7 +49,7 @@
 const operator = suite('operator');
 
 operator('a put is taken once on its revision, a second one on the same has lost the race', () =>
-  withOperator(bareCore(), async (call) => {
+  withOperator(inMemoryCore(), async (call) => {
     const newest = await call('GET', '/operator/setup');
     assert.equal([newest.status, newest.etag], [200, '"1"']);
     const taken = await call('PUT', '/operator/setup', sampleSetup('two'), { 'if-match': '"1"', 'proposal-id': 'p2' });
@@ -65,7 +65,7 @@
 );
 
 operator('what does not hold is listed by path and never proposed', () =>
-  withOperator(bareCore(), async (call) => {
+  withOperator(inMemoryCore(), async (call) => {
     const whole = sampleSetup('bad');
     const invalid = await call('PUT', '/operator/setup', {
       ...whole,
@@ -83,7 +83,7 @@
 );
 
 operator('a proposal without a last word is unknown, never refused, and withdrawing it decides it', async () => {
-  const core = bareCore();
+  const core = inMemoryCore();
   let isSilent = true;
   const silent: CoreClient = {
     ask: (question, budgetUs) =>
--- a/tests/explain/explain.test.ts
+++ b/tests/explain/explain.test.ts
@@ -1,11 +1,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import type { ExchangeStory } from '../../src/router/explain/exchange-story.js';
-import { explainStory } from '../../src/router/explain/explain-story.js';
+import type { ExchangeTrace } from '../../src/router/explain/exchange-trace.js';
+import { explainTrace } from '../../src/router/explain/explain-trace.js';
 import { journalTextOf, readJournal } from '../../src/router/explain/saved-journal.js';
 import { readyFleet, second, type SmallFleet } from '../sim/small-fleet.js';
 
-const tracesOf = (fleet: SmallFleet): readonly ExchangeStory[] =>
+const tracesOf = (fleet: SmallFleet): readonly ExchangeTrace[] =>
   fleet.routers.flatMap((router) => router.tasks()?.router.stories.all() ?? []);
 
 /** The explanation of the exchange that ran a work, from a journal that was saved and read back. */
@@ -14,7 +14,7 @@
   const traces = readJournal(journalTextOf('r1', tracesOf(fleet))).unsafeCoerce();
   const trace = traces.find((candidate) => candidate.exchange === run?.exchange);
   assert.ok(trace, `the journal has no trace of ${work}`);
-  return explainStory(trace).join('\n');
+  return explainTrace(trace).join('\n');
 };
 
 test('a saved journal explains why an exchange was resumed elsewhere, held behind a prefill, or has an unknown outcome', async () => {
@@ -47,13 +47,13 @@
   for (const machine of fleet.core.machines) machine.kill();
   fleet.call({ work: 'keyed', kind: 'summary', key: 'keyed' });
   await fleet.play(8 * second);
-  const texts = tracesOf(fleet).map((trace) => explainStory(trace).join('\n'));
+  const texts = tracesOf(fleet).map((trace) => explainTrace(trace).join('\n'));
   assert.ok(texts.some((text) => text.includes('was refused: no-server; it did not run and never will')));
   assert.ok(texts.some((text) => text.includes('kind summary') && text.includes('was refused: no-claim')));
 });
 
 test('a damaged journal is an error that names the line', () => {
-  const trace: ExchangeStory = {
+  const trace: ExchangeTrace = {
     exchange: 'x',
     kind: 'k',
     tier: 't',
--- a/tests/platform/caller-room.test.ts
+++ b/tests/platform/caller-room.test.ts
@@ -11,7 +11,7 @@
   const caller = callerOverHttp(response);
   let told = 0;
   for (let wait = 0; wait < 20; wait += 1) {
-    caller.opaque?.onRoom(() => (told += 1));
+    caller.opaque?.onDrain(() => (told += 1));
     response.emit('drain');
   }
   response.emit('close');
--- a/tests/platform/paths.test.ts
+++ b/tests/platform/paths.test.ts
@@ -9,7 +9,7 @@
 import { openHttpServer } from '../../src/process/http/http-server.js';
 import { openOperatorService } from '../../src/process/operator/operator-service.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
-import { bareCore } from '../router/loopback.js';
+import { inMemoryCore } from '../router/loopback.js';
 import { grownDocument, pageDocument, retryLimits, withSecondRoute } from './documents.js';
 
 type Told = { readonly status: number; readonly text: string; readonly retryAfter: unknown };
@@ -42,7 +42,7 @@
 const versioned = (ver: number): string => JSON.stringify({ ...pageDocument, ver });
 
 test('a document is taken, taken again, and read back byte for byte', () =>
-  withPaths(bareCore(), async (call) => {
+  withPaths(inMemoryCore(), async (call) => {
     assert.is((await call('GET')).status, 404);
     assert.is((await call('PUT', page, '0')).status, 200);
     assert.is((await call('PUT', page, '0')).status, 200);
@@ -55,7 +55,7 @@
   }));
 
 test('what does not hold is refused and changes nothing', () =>
-  withPaths(bareCore(), async (call) => {
+  withPaths(inMemoryCore(), async (call) => {
     const faulty = [
       '{',
       '',
@@ -72,7 +72,7 @@
   }));
 
 test('a large document is taken whole', () =>
-  withPaths(bareCore(), async (call) => {
+  withPaths(inMemoryCore(), async (call) => {
     const text = `${JSON.stringify(grownDocument(350))}${' '.repeat(4 << 20)}`;
     assert.is((await call('PUT', text, '0')).status, 200);
     assert.ok((await call('GET')).text === text);
--- a/tests/platform/raw/open-edge.ts
+++ b/tests/platform/raw/open-edge.ts
@@ -170,7 +170,7 @@
     settings: { node: 'r1', locality: 'a', http, partners, seeds: [partners], memoryBytes },
     log,
     surroundings: { ...realSurroundings, dial: dialServer, probesNothing: true },
-    coreOf: () => core,
+    openCore: () => core,
   });
   const server = openCallerServer(http, node);
   const { callers } = server;
--- a/tests/platform/unconfirmed.test.ts
+++ b/tests/platform/unconfirmed.test.ts
@@ -52,7 +52,7 @@
     assert.match(await statusOf(edge, `${firstRoute?.prefix ?? ''}x`), promise);
     assert.match(await statusOf(edge, '/never/x'), promise);
     reach();
-    for (let look = 0; look < 400 && edge.node.unready() === 'no setup is confirmed by the core yet'; look += 1)
+    for (let look = 0; look < 400 && edge.node.unreadyReason() === 'no setup is confirmed by the core yet'; look += 1)
       await paused(steadyClock, 10_000);
     assert.match(await statusOf(edge, '/never/x'), /^HTTP\/1.1 404 /);
   } finally {
--- a/tests/quota/quota-store.test.ts
+++ b/tests/quota/quota-store.test.ts
@@ -6,7 +6,7 @@
 import type { QuotaReply } from '../../src/quota/quota-messages.js';
 import { initialQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
 import { stepQuotaStore } from '../../src/quota/store/step-quota-store.js';
-import { freeHold, openQuotaHold } from '../../src/router/exchange/quota-hold.js';
+import { unmeteredHold, openQuotaHold } from '../../src/router/exchange/quota-hold.js';
 import { quotaCostOf } from '../../src/router/access/quota-cost.js';
 import type { Tenant } from '../../src/setup/document/tenant.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
@@ -116,8 +116,8 @@
   retried.sent();
   retried.end();
   assert.equal(calls.splice(0), ['charge a 7']);
-  freeHold.sent();
-  freeHold.end();
+  unmeteredHold.sent();
+  unmeteredHold.end();
 });
 
 test('the cost of a request is one, or its tokens, or the default tokens if their number is unknown', () => {
--- a/tests/router/carry.test.ts
+++ b/tests/router/carry.test.ts
@@ -1,15 +1,15 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { carry } from '../../src/router/delivery/carry.js';
-import { watchCaller } from '../../src/router/promises/watched-caller.js';
-import type { CallerLink } from '../../src/router/delivery/caller-link.js';
-import type { DeliveryEnd } from '../../src/router/delivery/delivery-end.js';
+import { forwardOpaque } from '../../src/router/delivery/forward-opaque.js';
+import { monitorExchange } from '../../src/router/guarantees/exchange-monitor.js';
+import type { ClientLink } from '../../src/router/delivery/client-link.js';
+import type { DeliveryResult } from '../../src/router/delivery/delivery-result.js';
 import type { Continuation } from '../../src/router/exchange/continuation.js';
 import type { OpaqueExchange } from '../../src/router/opaque/opaque-exchange.js';
 import type { OpaqueResponseHead } from '../../src/servers/link/opaque-response-head.js';
 import type { OpaqueResponseListener } from '../../src/servers/link/opaque-response-listener.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
-import { freeHold } from '../../src/router/exchange/quota-hold.js';
+import { unmeteredHold } from '../../src/router/exchange/quota-hold.js';
 import { openSlab } from '../../src/router/slab/slab.js';
 
 const exchange: OpaqueExchange = {
@@ -27,21 +27,21 @@
   budgetUs: 1_000_000,
 };
 
-const good: OpaqueResponseHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
+const successHead: OpaqueResponseHead = { status: 200, headers: ['A', 'b'], ran: true, sealed: true };
 
-/** A caller that writes down what it is given. */
-const openHeard = () => {
-  const heard: string[] = [];
-  const caller: CallerLink = {
+/** A client link that records what is written to it. */
+const openRecordingClient = () => {
+  const written: string[] = [];
+  const client: ClientLink = {
     opaque: {
-      begin: ({ status }) => void heard.push(`begin ${status}`),
+      writeHead: ({ status }) => void written.push(`begin ${status}`),
       write: (bytes) => {
-        heard.push(Buffer.from(bytes).toString());
+        written.push(Buffer.from(bytes).toString());
         return true;
       },
-      onRoom: () => undefined,
-      end: () => void heard.push('end'),
-      whole: ({ status }, body) => void heard.push(`whole ${status} ${Buffer.from(body).toString()}`),
+      onDrain: () => undefined,
+      end: () => void written.push('end'),
+      whole: ({ status }, body) => void written.push(`whole ${status} ${Buffer.from(body).toString()}`),
     },
     isGone: () => false,
     onGone: () => undefined,
@@ -52,12 +52,12 @@
     unknown: () => undefined,
     breakOff: () => undefined,
   };
-  return { heard, caller };
+  return { written, client };
 };
 
-const continuationOf = (caller: CallerLink, streams: boolean): Continuation =>
+const continuationOf = (client: ClientLink, streams: boolean): Continuation =>
   openSlab<Continuation>().put((ticket) => ({
-    ticket,
+    handle: ticket,
     exchange: 'e1',
     rule: {
       kind: 'k',
@@ -72,21 +72,21 @@
     },
     apiKey: undefined,
     access: { type: 'open' },
-    quota: freeHold,
+    quota: unmeteredHold,
     isModel: true,
     body: { kind: 'k', budgetUs: 1_000_000 },
     opaque: exchange,
     dueUs: 1,
-    caller,
-    watch: watchCaller(caller, { exchange: 'e1', repeatable: true }, { broken: () => undefined }),
+    client: client,
+    watch: monitorExchange(client, { exchange: 'e1', repeatable: true }, { broken: () => undefined }),
     claimedKey: undefined,
-    stream: { pieces: 0, running: undefined, dueUs: 0, lastPiece: undefined, refusal: undefined },
+    stream: { pieces: 0, running: undefined, dueUs: 0, lastPiece: undefined, errorResponse: undefined },
   }));
 
 type Server = (listener: OpaqueResponseListener) => void;
 
-const tried = (continuation: Continuation, server: Server): Promise<DeliveryEnd> => {
-  const carryOver: NonNullable<ServerLink['forward']> = (_order, listener) => {
+const runAttempt = (continuation: Continuation, server: Server): Promise<DeliveryResult> => {
+  const startCarriage: NonNullable<ServerLink['forward']> = (_order, listener) => {
     queueMicrotask(() => server(listener));
     return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
   };
@@ -96,10 +96,10 @@
     close: () => undefined,
     probe: () => Promise.resolve(true),
     deliver: () => Promise.reject(new Error('not here')),
-    forward: carryOver,
+    forward: startCarriage,
   };
   const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
-  return carry(continuation, link, carryOver, order, new AbortController().signal, {
+  return forwardOpaque(continuation, link, startCarriage, order, new AbortController().signal, {
     piece: () => undefined,
     load: () => undefined,
   });
@@ -107,101 +107,101 @@
 
 const bytes = (text: string): Uint8Array => Buffer.from(text);
 
-test('a whole receipt that is no stream is given on at once, with its head', async () => {
-  const { heard, caller } = openHeard();
-  const end = await tried(continuationOf(caller, false), (listener) => {
-    listener.head(good);
+test('a response that is not streamed is forwarded whole, with its status and headers', async () => {
+  const { written, client } = openRecordingClient();
+  const end = await runAttempt(continuationOf(client, false), (listener) => {
+    listener.head(successHead);
     listener.piece(bytes('one'), undefined);
     listener.piece(bytes(' two'), undefined);
     listener.end();
   });
   assert.is(end.type, 'done');
-  assert.equal(heard, ['whole 200 one two']);
+  assert.equal(written, ['whole 200 one two']);
 });
 
-test('one that breaks off before its end gives its caller nothing', async () => {
-  const { heard, caller } = openHeard();
-  const end = await tried(continuationOf(caller, false), (listener) => {
-    listener.head(good);
+test('nothing of an unstreamed response is forwarded if the connection is lost before its end', async () => {
+  const { written, client } = openRecordingClient();
+  const end = await runAttempt(continuationOf(client, false), (listener) => {
+    listener.head(successHead);
     listener.piece(bytes('half'), undefined);
     listener.lost('reset');
   });
   assert.equal(end.type === 'failed' && end.error, 'link-lost');
-  assert.equal(heard, []);
+  assert.equal(written, []);
 });
 
-test('a stream goes on at another server under the head of its first one, each piece once', async () => {
-  const { heard, caller } = openHeard();
-  const continuation = continuationOf(caller, true);
-  await tried(continuation, (listener) => {
-    listener.head(good);
+test('a stream continues from another server under the headers of the first one, with each piece once', async () => {
+  const { written, client } = openRecordingClient();
+  const continuation = continuationOf(client, true);
+  await runAttempt(continuation, (listener) => {
+    listener.head(successHead);
     listener.piece(bytes('1'), 1);
     listener.piece(bytes('2'), 2);
     listener.lost('reset');
   });
-  const end = await tried(continuation, (listener) => {
-    listener.head({ ...good, headers: ['other', 'head'] });
+  const end = await runAttempt(continuation, (listener) => {
+    listener.head({ ...successHead, headers: ['other', 'head'] });
     listener.piece(bytes('3'), 3);
     listener.end();
   });
   assert.is(end.type, 'done');
-  assert.equal(heard, ['begin 200', '1', '2', '3', 'end']);
+  assert.equal(written, ['begin 200', '1', '2', '3', 'end']);
 });
 
-test('a piece that was given on already ends the try, and is not given on again', async () => {
-  const { heard, caller } = openHeard();
-  const continuation = continuationOf(caller, true);
-  const end = await tried(continuation, (listener) => {
-    listener.head(good);
+test('a piece with a number that was already forwarded fails the attempt and is not forwarded again', async () => {
+  const { written, client } = openRecordingClient();
+  const continuation = continuationOf(client, true);
+  const end = await runAttempt(continuation, (listener) => {
+    listener.head(successHead);
     listener.piece(bytes('2'), 2);
     listener.piece(bytes('2'), 2);
     listener.end();
   });
   assert.equal(end.type === 'failed' && end.error, 'bad-stream');
-  assert.equal(heard, ['begin 200', '2']);
+  assert.equal(written, ['begin 200', '2']);
 });
 
-test('a success without the mark of its server is never given on', async () => {
-  const { heard, caller } = openHeard();
-  const end = await tried(continuationOf(caller, true), (listener) => {
-    listener.head({ ...good, sealed: false });
+test('a success response without the seal of its server is never forwarded', async () => {
+  const { written, client } = openRecordingClient();
+  const end = await runAttempt(continuationOf(client, true), (listener) => {
+    listener.head({ ...successHead, sealed: false });
     listener.piece(bytes('1'), 1);
     listener.end();
   });
   assert.equal(end.type === 'failed' && end.error, 'bad-stream');
-  assert.equal(heard, []);
+  assert.equal(written, []);
 });
 
-test('a refusal that vouches not to have run says so; one that ran is kept whole for the caller', async () => {
-  const { heard, caller } = openHeard();
-  const continuation = continuationOf(caller, true);
-  const away = await tried(continuation, (listener) => {
-    listener.head({ ...good, status: 503, ran: false });
+test('an error response that confirms it did not run sets notRun; one that ran is buffered whole for the client', async () => {
+  const { written, client } = openRecordingClient();
+  const continuation = continuationOf(client, true);
+  const turnedAway = await runAttempt(continuation, (listener) => {
+    listener.head({ ...successHead, status: 503, ran: false });
     listener.end();
   });
-  assert.equal(away, { type: 'failed', error: 'turned-away', message: 'status 503', notRun: true });
-  const ran = await tried(continuation, (listener) => {
-    listener.head({ ...good, status: 500 });
+  assert.equal(turnedAway, { type: 'failed', error: 'turned-away', message: 'status 503', notRun: true });
+  const ran = await runAttempt(continuation, (listener) => {
+    listener.head({ ...successHead, status: 500 });
     listener.piece(bytes('why'), undefined);
     listener.end();
   });
   assert.equal(ran.type === 'failed' && ran.error, 'server-error');
-  assert.is(Buffer.from(continuation.stream.refusal?.body ?? []).toString(), 'why');
-  assert.equal(heard, []);
+  assert.is(Buffer.from(continuation.stream.errorResponse?.body ?? []).toString(), 'why');
+  assert.equal(written, []);
 });
 
-test('what comes after a caller is gone, or after the end of a try, is given to nobody', async () => {
-  const late = (listener: OpaqueResponseListener): void => {
-    listener.head(good);
+test('data that arrives after the client disconnected or the attempt ended is not forwarded', async () => {
+  const sendLate = (listener: OpaqueResponseListener): void => {
+    listener.head(successHead);
     listener.piece(bytes('2'), 2);
     listener.end();
   };
   for (const streams of [true, false]) {
-    const { heard, caller } = openHeard();
-    const leaving = new AbortController();
-    let listened: OpaqueResponseListener | undefined;
-    const carryOver: NonNullable<ServerLink['forward']> = (_order, listener) => {
-      listened = listener;
+    const { written, client } = openRecordingClient();
+    const abortController = new AbortController();
+    let lateListener: OpaqueResponseListener | undefined;
+    const startCarriage: NonNullable<ServerLink['forward']> = (_order, listener) => {
+      lateListener = listener;
       return { pause: () => undefined, resume: () => undefined, cancel: () => undefined };
     };
     let isClosed = false;
@@ -213,16 +213,23 @@
       },
       probe: () => Promise.resolve(true),
       deliver: () => Promise.reject(new Error('not here')),
-      forward: carryOver,
+      forward: startCarriage,
     };
     const order = { exchange, budgetUs: 1, afterPiece: undefined, urgency: undefined };
     const events = { piece: () => undefined, load: () => undefined };
-    const ended = carry(continuationOf(caller, streams), link, carryOver, order, leaving.signal, events);
-    leaving.abort();
-    assert.is((await ended).type, 'gone');
-    assert.ok(isClosed, 'its link serves no other request');
-    if (listened !== undefined) late(listened);
-    assert.equal(heard, []);
+    const outcome = forwardOpaque(
+      continuationOf(client, streams),
+      link,
+      startCarriage,
+      order,
+      abortController.signal,
+      events,
+    );
+    abortController.abort();
+    assert.is((await outcome).type, 'gone');
+    assert.ok(isClosed, 'the link is closed, so no other request can use it');
+    if (lateListener !== undefined) sendLate(lateListener);
+    assert.equal(written, []);
   }
 });
 
--- a/tests/router/edge.test.ts
+++ b/tests/router/edge.test.ts
@@ -5,11 +5,11 @@
 import { readJournal } from '../../src/router/explain/saved-journal.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import { pieceText, writeWorkText } from '../../src/rehearsal/stand-in/work-text.js';
-import { listedAt, openLoopback, type Loopback, type Sent } from './loopback.js';
+import { listedAt, openLoopback, type Loopback, type ExchangeResponse } from './loopback.js';
 
 const edge = suite<{ loopback: Loopback | undefined }>('edge', { loopback: undefined });
 
-const opened = ({ loopback }: { readonly loopback: Loopback | undefined }): Loopback => {
+const loopbackOf = ({ loopback }: { readonly loopback: Loopback | undefined }): Loopback => {
   if (loopback === undefined) throw new Error('no loopback is open');
   return loopback;
 };
@@ -18,16 +18,17 @@
   context.loopback = await openLoopback(3, 1);
 });
 
-edge.after((context) => opened(context).close());
+edge.after((context) => loopbackOf(context).close());
 
 const textOf = (work: string, pieces: number): string => writeWorkText({ work, call: work, pieces });
 
-const typeOf = (sent: Sent): string | undefined => /"type":"([a-z-]+)"/.exec(sent.text)?.[1];
+const typeOf = (response: ExchangeResponse): string | undefined => /"type":"([a-z-]+)"/.exec(response.text)?.[1];
 
-const linesOf = (sent: Sent): readonly string[] => sent.text.split('\n').filter((line) => line !== '');
+const linesOf = (response: ExchangeResponse): readonly string[] =>
+  response.text.split('\n').filter((line) => line !== '');
 
-edge('what does not hold is a 4xx at once and nothing is delivered', async (context) => {
-  const loopback = opened(context);
+edge('an invalid request gets a 4xx status at once and no server gets it', async (context) => {
+  const loopback = loopbackOf(context);
   const cases: readonly (readonly [unknown, Readonly<Record<string, string>>, number, string])[] = [
     ['{', {}, 400, 'bad-exchange'],
     [[], {}, 400, 'bad-exchange'],
@@ -40,83 +41,86 @@
     [{ kind: 'summary', text: 'x'.repeat(1 << 21) }, {}, 413, 'oversized-body'],
   ];
   for (const [body, headers, status, type] of cases) {
-    const sent = await loopback.send(body, headers);
-    assert.equal([sent.status, typeOf(sent)], [status, type], sent.text);
-    assert.match(sent.text, '"outcome":"refused"');
+    const response = await loopback.send(body, headers);
+    assert.equal([response.status, typeOf(response)], [status, type], response.text);
+    assert.match(response.text, '"outcome":"refused"');
   }
   assert.is(loopback.history.runs.length, 0);
 });
 
-edge('a model exchange streams numbered pieces and an explicit end, a web exchange one answer', async (context) => {
-  const loopback = opened(context);
-  const sent = await loopback.send({ kind: 'question', opening: 'o', text: textOf('s1', 4) });
-  assert.is(sent.status, 200);
-  assert.equal(linesOf(sent), [
-    ...[0, 1, 2, 3].map((piece) => JSON.stringify({ piece, text: pieceText('s1', piece) })),
-    JSON.stringify({ end: true, pieces: 4 }),
-  ]);
-  const web = await loopback.send({ kind: 'check', text: textOf('s2', 0) });
-  assert.is(web.status, 200);
-  assert.match(web.text, 'well');
-});
-
-edge('a key of a run-once kind runs once, however often and at once it comes', async (context) => {
-  const loopback = opened(context);
+edge(
+  'a model exchange streams numbered pieces and an end marker, a web exchange gets one response',
+  async (context) => {
+    const loopback = loopbackOf(context);
+    const response = await loopback.send({ kind: 'question', opening: 'o', text: textOf('s1', 4) });
+    assert.is(response.status, 200);
+    assert.equal(linesOf(response), [
+      ...[0, 1, 2, 3].map((piece) => JSON.stringify({ piece, text: pieceText('s1', piece) })),
+      JSON.stringify({ end: true, pieces: 4 }),
+    ]);
+    const web = await loopback.send({ kind: 'check', text: textOf('s2', 0) });
+    assert.is(web.status, 200);
+    assert.match(web.text, 'well');
+  },
+);
+
+edge('concurrent requests with one idempotency key of a run-once kind run once', async (context) => {
+  const loopback = loopbackOf(context);
   const body = { kind: 'summary', opening: 'o', text: textOf('k1', 3) };
-  const sents = await Promise.all([1, 2, 3, 4].map(() => loopback.send(body, { 'idempotency-key': 'k1' })));
-  assert.equal(sents.map((sent) => sent.status).sort(), [200, 409, 409, 409]);
+  const responses = await Promise.all([1, 2, 3, 4].map(() => loopback.send(body, { 'idempotency-key': 'k1' })));
+  assert.equal(responses.map((response) => response.status).sort(), [200, 409, 409, 409]);
   assert.is(loopback.history.runs.filter((run) => run.work === 'k1').length, 1);
-  const repeated = sents.find((sent) => sent.status === 409);
+  const repeated = responses.find((response) => response.status === 409);
   assert.match(repeated?.text ?? '', '"outcome":"unknown"');
 });
 
-edge('explain tells rule, tier, range, owners and every attempt', async (context) => {
-  const loopback = opened(context);
-  const sent = await loopback.send({ kind: 'question', opening: 'o', text: textOf('x1', 2) });
-  const exchange = String(sent.headers['x-exchange-id']);
-  const story = loopback.node.router.stories.find(exchange);
-  assert.equal([story?.kind, story?.tier, story?.service], ['question', 'first', 'model']);
+edge('the trace of an exchange has its rule, tier, range, owners and every attempt', async (context) => {
+  const loopback = loopbackOf(context);
+  const response = await loopback.send({ kind: 'question', opening: 'o', text: textOf('x1', 2) });
+  const exchange = String(response.headers['x-exchange-id']);
+  const trace = loopback.node.router.stories.find(exchange);
+  assert.equal([trace?.kind, trace?.tier, trace?.service], ['question', 'first', 'model']);
   assert.equal(
-    story?.steps.map((step) => step.what),
+    trace?.steps.map((step) => step.what),
     ['deliver', 'done'],
   );
-  const facts = JSON.stringify(story?.steps[0]?.facts);
-  for (const word of ['"range"', '"owners"', '"pressure"', '"cold"', '"attempt":1']) assert.match(facts, word);
+  const facts = JSON.stringify(trace?.steps[0]?.facts);
+  for (const field of ['"range"', '"owners"', '"pressure"', '"cold"', '"attempt":1']) assert.match(facts, field);
 });
 
-edge('a node gives its journal of exchanges out, which can be read back whole', async (context) => {
-  const loopback = opened(context);
-  const sent = await loopback.send({ kind: 'question', opening: 'o', text: textOf('j1', 2) });
+edge('the journal of a node can be fetched and parsed', async (context) => {
+  const loopback = loopbackOf(context);
+  const response = await loopback.send({ kind: 'question', opening: 'o', text: textOf('j1', 2) });
   const text = (await httpText(loopback.http, '/journal').run()).unsafeCoerce();
-  const stories = readJournal(text).unsafeCoerce();
-  assert.ok(stories.some((story) => story.exchange === sent.headers['x-exchange-id'] && story.steps.length > 1));
+  const traces = readJournal(text).unsafeCoerce();
+  assert.ok(traces.some((trace) => trace.exchange === response.headers['x-exchange-id'] && trace.steps.length > 1));
 });
 
 edge.run();
 
 const faults = suite('edge under faults');
 
-const midStream = async (
+const startStream = async (
   loopback: Loopback,
   kind: string,
   work: string,
-): Promise<{ readonly sent: Promise<Sent>; readonly crash: () => void }> => {
-  const sent = loopback.send({ kind, opening: 'o', text: textOf(work, 40) });
+): Promise<{ readonly sent: Promise<ExchangeResponse>; readonly crash: () => void }> => {
+  const response = loopback.send({ kind, opening: 'o', text: textOf(work, 40) });
   const runOf = () => loopback.history.runs.find((run) => run.work === work);
   while (runOf() === undefined) await new Promise((resolve) => setImmediate(resolve));
   const serverName = runOf()?.server;
-  const story = () => loopback.node.router.view().exchanges;
-  while (![...story().values()].some((exchange) => exchange.started))
+  const exchanges = () => loopback.node.router.view().exchanges;
+  while (![...exchanges().values()].some((exchange) => exchange.started))
     await new Promise((resolve) => setImmediate(resolve));
-  return { sent, crash: () => loopback.servers.find((server) => server.listed.id === serverName)?.crash() };
+  return { sent: response, crash: () => loopback.servers.find((server) => server.listed.id === serverName)?.crash() };
 };
 
-faults('a resumable stream is carried over at the next piece when its server crashes', async () => {
+faults('a resumable stream continues from another server at the next piece when its server crashes', async () => {
   const loopback = await openLoopback(3, 0, 5_000);
   try {
-    for (let place = 0; place < 5; place += 1)
-      await loopback.send({ kind: 'question', opening: 'o', text: textOf(`warm${place}`, 1) });
-    const { sent, crash } = await midStream(loopback, 'question', 'c1');
+    for (let index = 0; index < 5; index += 1)
+      await loopback.send({ kind: 'question', opening: 'o', text: textOf(`warm${index}`, 1) });
+    const { sent, crash } = await startStream(loopback, 'question', 'c1');
     crash();
     const ended = await sent;
     assert.is(ended.broken, false);
@@ -124,18 +128,18 @@
       linesOf(ended).slice(0, 40),
       Array.from({ length: 40 }, (_, piece) => JSON.stringify({ piece, text: pieceText('c1', piece) })),
     );
-    const froms = loopback.history.runs.filter((run) => run.work === 'c1').map((run) => run.fromPiece);
-    assert.is(froms.length, 2);
-    assert.ok((froms[1] ?? 0) > 0);
+    const firstPieces = loopback.history.runs.filter((run) => run.work === 'c1').map((run) => run.fromPiece);
+    assert.is(firstPieces.length, 2);
+    assert.ok((firstPieces[1] ?? 0) > 0);
   } finally {
     loopback.close();
   }
 });
 
-faults('a run-once stream breaks visibly when its server crashes, and does not run again', async () => {
+faults('a run-once stream is aborted, not completed, when its server crashes, and does not run again', async () => {
   const loopback = await openLoopback(3, 0, 5_000);
   try {
-    const { sent, crash } = await midStream(loopback, 'summary', 'c2');
+    const { sent, crash } = await startStream(loopback, 'summary', 'c2');
     crash();
     const ended = await sent;
     assert.is(ended.broken, true);
@@ -146,56 +150,62 @@
   }
 });
 
-faults('an address that now belongs to another service gets nothing, on new and on kept links', async () => {
-  const loopback = await openLoopback(1, 0);
-  try {
-    const [old] = loopback.servers;
-    if (old === undefined) throw new Error('no server');
-    assert.is((await loopback.send({ kind: 'question', opening: 'o', text: textOf('a1', 1) })).status, 200);
-    old.crash();
-    const port = Number(old.listed.address.split(':')[1]);
-    const usurper = await loopback.open(listedAt('other', 'ledger', port), 'model');
-    const sent = await loopback.send({ kind: 'question', opening: 'o', text: textOf('a2', 1) });
-    assert.is(sent.status, 503);
-    assert.match(sent.text, '"outcome":"refused"');
-    assert.ok(Number(sent.headers['retry-after']) >= 1);
-    assert.is(loopback.history.runs.filter((run) => run.server === 'other').length, 0);
-    usurper.crash();
-  } finally {
-    loopback.close();
-  }
-});
-
-faults('a server that skips, repeats or miscounts pieces breaks the stream visibly', async () => {
-  const wrongLines: readonly (readonly string[])[] = [
-    ['{"piece":0,"text":"a"}', '{"piece":2,"text":"c"}', '{"end":true,"pieces":3}'],
-    ['{"piece":0,"text":"a"}', '{"piece":0,"text":"a"}', '{"end":true,"pieces":2}'],
-    ['{"piece":0,"text":"a"}', '{"end":true,"pieces":2}'],
-    ['{"piece":0,"text":"a"}', 'nonsense'],
-    ['{"piece":0,"text":"a"}'],
-  ];
-  for (const lines of wrongLines) {
-    const loopback = await openLoopback(0, 0);
-    const [port = 0] = await freePorts(1);
-    const server = createServer((message, response) => {
-      if (message.url === '/identity') response.end('{"id":"m1","incarnation":"i1","service":"model"}');
-      else {
-        response.writeHead(200);
-        response.end(`${lines.join('\n')}\n`);
-      }
-    });
-    await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
-    loopback.show([listedAt('m1', 'model', port)]);
+faults(
+  'a server at a reused address that belongs to another service gets no exchange, on new or pooled connections',
+  async () => {
+    const loopback = await openLoopback(1, 0);
     try {
-      const sent = await loopback.send({ kind: 'summary', opening: 'o', text: 't' });
-      assert.is(sent.broken, true, lines.join(' '));
-      assert.not.match(sent.text, '"end"');
+      const [firstServer] = loopback.servers;
+      if (firstServer === undefined) throw new Error('no server');
+      assert.is((await loopback.send({ kind: 'question', opening: 'o', text: textOf('a1', 1) })).status, 200);
+      firstServer.crash();
+      const port = Number(firstServer.listed.address.split(':')[1]);
+      const replacement = await loopback.openServer(listedAt('other', 'ledger', port), 'model');
+      const response = await loopback.send({ kind: 'question', opening: 'o', text: textOf('a2', 1) });
+      assert.is(response.status, 503);
+      assert.match(response.text, '"outcome":"refused"');
+      assert.ok(Number(response.headers['retry-after']) >= 1);
+      assert.is(loopback.history.runs.filter((run) => run.server === 'other').length, 0);
+      replacement.crash();
     } finally {
-      server.closeAllConnections();
-      server.close();
       loopback.close();
     }
-  }
-});
+  },
+);
+
+faults(
+  'a stream is aborted if its server skips, repeats or miscounts pieces, sends garbage or no end marker',
+  async () => {
+    const malformedStreams: readonly (readonly string[])[] = [
+      ['{"piece":0,"text":"a"}', '{"piece":2,"text":"c"}', '{"end":true,"pieces":3}'],
+      ['{"piece":0,"text":"a"}', '{"piece":0,"text":"a"}', '{"end":true,"pieces":2}'],
+      ['{"piece":0,"text":"a"}', '{"end":true,"pieces":2}'],
+      ['{"piece":0,"text":"a"}', 'nonsense'],
+      ['{"piece":0,"text":"a"}'],
+    ];
+    for (const lines of malformedStreams) {
+      const loopback = await openLoopback(0, 0);
+      const [port = 0] = await freePorts(1);
+      const server = createServer((message, serverResponse) => {
+        if (message.url === '/identity') serverResponse.end('{"id":"m1","incarnation":"i1","service":"model"}');
+        else {
+          serverResponse.writeHead(200);
+          serverResponse.end(`${lines.join('\n')}\n`);
+        }
+      });
+      await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
+      loopback.publishList([listedAt('m1', 'model', port)]);
+      try {
+        const response = await loopback.send({ kind: 'summary', opening: 'o', text: 't' });
+        assert.is(response.broken, true, lines.join(' '));
+        assert.not.match(response.text, '"end"');
+      } finally {
+        server.closeAllConnections();
+        server.close();
+        loopback.close();
+      }
+    }
+  },
+);
 
 faults.run();
--- a/tests/router/stand-still.ts
+++ b/tests/router/event-loop-stall.ts
@@ -5,11 +5,10 @@
 export const stallUs: Micros = 900_000;
 
 /**
- * Begins something and keeps the process from reading anything for a while, as a machine with too little processor time
- * does. It happens at the end of a turn of the event loop, so that the timers that fall due meanwhile are looked at before
- * the sockets.
+ * Calls `begin` and then blocks the event loop for `stallUs`, as happens on an overloaded machine. The stall starts in the check
+ * phase (`setImmediate`), so that the timers that expire meanwhile run before the sockets are read.
  */
-export const begunBeforeStall = <T>(begin: () => T): Promise<{ readonly begun: T }> =>
+export const beginThenStall = <T>(begin: () => T): Promise<{ readonly begun: T }> =>
   new Promise((resolve) => {
     setImmediate(() => {
       const begun = begin();
@@ -19,7 +18,7 @@
     });
   });
 
-/** Lets a listener on loopback stand while something is done with its port. */
+/** Calls `use` with the port of a listener on the loopback interface, and closes the listener afterwards. */
 export const withListener = async (use: (port: number) => Promise<void>): Promise<void> => {
   const [port = 0] = await freePorts(1);
   const server = createServer((socket) => socket.on('error', () => undefined));
--- a/tests/router/failure-report.test.ts
+++ b/tests/router/failure-report.test.ts
@@ -13,16 +13,16 @@
 
 type Line = { readonly what: string; readonly facts: Readonly<Record<string, unknown>> };
 
-const openLines = () => {
+const openRecordingLog = () => {
   const lines: Line[] = [];
   return { lines, log: { change: (what: string, facts: Line['facts']) => void lines.push({ what, facts }) } };
 };
 
-test('what failed since the last line is told with what the node knew, and nothing while nothing fails', async () => {
+test('failures since the last report are logged with the fields of the node, and no line appears without failures', async () => {
   const world = openWorld(1);
   const { clock } = openSimNode(world).begin();
   const counters = openCounters();
-  const { lines, log } = openLines();
+  const { lines, log } = openRecordingLog();
   const report = openFailureReport(clock, log, counters, () => ({ revision: 7 }));
   counters.count('exchanges.done', 5);
   await world.playUntil(2 * reportSpanUs);
@@ -38,9 +38,9 @@
   assert.equal(lines[1]?.facts['failures'], { 'refused.no-server': 1 });
 });
 
-const serviceOver = (core: CoreClient) => {
+const openCountedService = (core: CoreClient) => {
   const counters = openCounters();
-  const { lines, log } = openLines();
+  const { lines, log } = openRecordingLog();
   return {
     counters,
     lines,
@@ -54,9 +54,9 @@
 
 const document = (setup: unknown) => ({ setup, original: { version: 4, text: '{}' }, expectedVersion: 3 });
 
-test('a document that is not taken is counted and logged with its cause', async () => {
+test('a rejected document is counted and logged with its cause', async () => {
   const unreachable = typedError('unreachable', 'no leader');
-  const { counters, lines, service } = serviceOver({ ask: () => Promise.resolve(Left(unreachable)) });
+  const { counters, lines, service } = openCountedService({ ask: () => Promise.resolve(Left(unreachable)) });
   await service.putOriginal(document({ ...sampleSetup('x'), tiers: [] }));
   await service.putOriginal(document(sampleSetup('x')));
   assert.is(counters.read()['operator.refused.invalid-setup'], 1);
@@ -72,7 +72,7 @@
 });
 
 test('a decided document is logged with its outcome, and reads are counted', async () => {
-  const { counters, lines, service } = serviceOver({
+  const { counters, lines, service } = openCountedService({
     ask: (request) =>
       Promise.resolve(
         request.type === 'read'
--- a/tests/router/http-close.test.ts
+++ b/tests/router/http-close.test.ts
@@ -6,47 +6,47 @@
 import { reply } from '../../src/process/http/reply.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 
-test('a server that is closed while a prober asks on and on over one kept link comes to its end', async () => {
+test('a closing server terminates although a prober keeps sending requests over one keep-alive connection', async () => {
   const [port = 0] = await freePorts(1);
   const http = openHttpServer(`127.0.0.1:${port}`, openCounters());
-  let goOn = (): void => undefined;
-  const mayEnd = new Promise<void>((resolve) => {
-    goOn = resolve;
+  let finishSlow = (): void => undefined;
+  const slowMayFinish = new Promise<void>((resolve) => {
+    finishSlow = resolve;
   });
-  let begun = (): void => undefined;
-  const hasBegun = new Promise<void>((resolve) => {
-    begun = resolve;
+  let markSlowBegun = (): void => undefined;
+  const slowBegun = new Promise<void>((resolve) => {
+    markSlowBegun = resolve;
   });
   http.app.get('/slow', async (_message, response) => {
-    begun();
-    await mayEnd;
+    markSlowBegun();
+    await slowMayFinish;
     reply(response, 200, { live: true });
   });
   http.app.get('/live', (_message, response) => reply(response, 200, { live: true }));
   await http.listen();
   const prober = new Client(`http://127.0.0.1:${port}`, { pipelining: 1 });
-  const ask = async (path: string): Promise<boolean> => {
+  const get = async (path: string): Promise<boolean> => {
     try {
-      const receipt = await prober.request({ method: 'GET', path });
-      await receipt.body.dump();
-      return receipt.statusCode === 200;
+      const answer = await prober.request({ method: 'GET', path });
+      await answer.body.dump();
+      return answer.statusCode === 200;
     } catch {
       return false;
     }
   };
-  const slow = ask('/slow');
-  await hasBegun;
+  const slow = get('/slow');
+  await slowBegun;
   let isClosed = false;
   const closed = http.close().then(() => {
     isClosed = true;
   });
-  goOn();
-  assert.is(await slow, true, 'what was under way is answered');
-  for (let asked = 0; asked < 300 && !isClosed && (await ask('/live')); asked += 1);
+  finishSlow();
+  assert.is(await slow, true, 'the request in flight is answered');
+  for (let requests = 0; requests < 300 && !isClosed && (await get('/live')); requests += 1);
   assert.is(
     await Promise.race([
       closed.then(() => 'closed'),
-      ask('/live').then((isThere) => (isThere ? 'still served' : closed.then(() => 'closed'))),
+      get('/live').then((isServed) => (isServed ? 'still served' : closed.then(() => 'closed'))),
     ]),
     'closed',
   );
--- a/tests/router/loop-delay.test.ts
+++ b/tests/router/loop-delay.test.ts
@@ -5,14 +5,14 @@
 import { openCounters } from '../../src/process/counters.js';
 import { loopLookSpanUs, openLoopDelay } from '../../src/process/loop-delay.js';
 
-/** A clock whose timers fire when the test says, however late. */
+/** A clock whose timers fire only at `fireAt`, so that a test can loopDelay them. */
 const openLateClock = (): Clock & { readonly fireAt: (nowUs: Micros) => void } => {
   let nowUs: Micros = 0;
   let timers: readonly { readonly dueUs: Micros; readonly act: () => void }[] = [];
   return {
     now: () => nowUs,
-    after: (span, act) => {
-      const timer = { dueUs: nowUs + span, act };
+    after: (delayUs, act) => {
+      const timer = { dueUs: nowUs + delayUs, act };
       timers = [...timers, timer];
       return () => {
         timers = timers.filter((other) => other !== timer);
@@ -27,19 +27,19 @@
   };
 };
 
-// Guards against: a process stood still, and nothing tells so afterwards.
-test('a pause of the event loop is told by the counters, and once by what the report takes', () => {
+// Guards against a stall of the event loop that leaves no evidence in counters or reports.
+test('a stall of the event loop appears in the counters, and once in the value for the report', () => {
   const clock = openLateClock();
   const counters = openCounters();
-  const delay = openLoopDelay(clock, counters);
+  const loopDelay = openLoopDelay(clock, counters);
   clock.fireAt(loopLookSpanUs);
   clock.fireAt(2 * loopLookSpanUs + 7_000_000);
-  const { 'loop.delayUs.max': longestUs = 0, 'loop.delayUs.mean': meanUs = 0 } = counters.read();
-  assert.ok(longestUs >= 7_000_000 && longestUs < 7_100_000, `${longestUs}`);
+  const { 'loop.delayUs.max': maxUs = 0, 'loop.delayUs.mean': meanUs = 0 } = counters.read();
+  assert.ok(maxUs >= 7_000_000 && maxUs < 7_100_000, `${maxUs}`);
   assert.ok(meanUs > 3_000_000 && meanUs < 4_000_000, `${meanUs}`);
-  assert.is(delay.takeLongestUs(), 7_000_000);
-  assert.is(delay.takeLongestUs(), 0);
-  delay.close();
+  assert.is(loopDelay.takeLongestUs(), 7_000_000);
+  assert.is(loopDelay.takeLongestUs(), 0);
+  loopDelay.close();
 });
 
 test.run();
--- a/tests/router/loopback.ts
+++ b/tests/router/loopback.ts
@@ -16,19 +16,23 @@
 import { sampleSetup } from '../../src/sim/sample-setup.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
 
-/** One router on this machine, with stand-in servers and a core that is a bare state. */
+/** One router on loopback addresses, with stand-in servers and a core that is an in-memory state without replication. */
 export type Loopback = {
   readonly http: string;
   readonly node: RouterNode;
   readonly history: History;
   readonly servers: readonly StandInServer[];
-  readonly show: (servers: readonly ListedServer[]) => void;
-  readonly open: (listed: ListedServer, type: 'model' | 'web') => Promise<StandInServer>;
-  readonly send: (body: unknown, headers?: Readonly<Record<string, string>>) => Promise<Sent>;
+  /** Publishes a new server list to the router. */
+  readonly publishList: (servers: readonly ListedServer[]) => void;
+  /** Starts a further stand-in server; it gets exchanges only once it is listed. */
+  readonly openServer: (listed: ListedServer, type: 'model' | 'web') => Promise<StandInServer>;
+  /** Sends an exchange; a failed connection gives status 0 and `broken`. */
+  readonly send: (body: unknown, headers?: Readonly<Record<string, string>>) => Promise<ExchangeResponse>;
   readonly close: () => void;
 };
 
-export type Sent = {
+/** The response to an exchange; `broken` if its body did not arrive completely. */
+export type ExchangeResponse = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
   readonly text: string;
@@ -37,8 +41,8 @@
 
 const quietLog = { change: (): void => undefined };
 
-/** A core that applies every command at once. */
-export const bareCore = (): CoreClient => {
+/** A core that applies every command immediately. */
+export const inMemoryCore = (): CoreClient => {
   let state = applyCommand(startReplicatedState, {
     type: 'setup',
     proposal: 'p',
@@ -47,18 +51,20 @@
     atUs: 0,
   }).state;
   return {
-    ask: (question) => {
-      if (question.type === 'read') {
-        const outcome = question.proposal === undefined ? undefined : findProposalOutcome(state, question.proposal);
+    ask: (coreRequest) => {
+      if (coreRequest.type === 'read') {
+        const outcome =
+          coreRequest.proposal === undefined ? undefined : findProposalOutcome(state, coreRequest.proposal);
         return Promise.resolve(Right<CoreReply>({ type: 'record', record: state.record, outcome }));
       }
-      const applied = applyCommand(state, question.command);
+      const applied = applyCommand(state, coreRequest.command);
       state = applied.state;
       return Promise.resolve(Right<CoreReply>({ type: 'applied', outcome: applied.outcome }));
     },
   };
 };
 
+/** The list entry of a server on the loopback interface. */
 export const listedAt = (
   id: string,
   service: string,
@@ -85,6 +91,7 @@
   }
 };
 
+/** Starts a router with so many model and web servers, and lists them. `pieceUs` is the time between two pieces of a stream. */
 export const openLoopback = async (models: number, webs: number, pieceUs = 1_000): Promise<Loopback> => {
   const history = openHistory();
   const [httpPort, partnerPort, ...serverPorts] = await freePorts(2 + models + webs);
@@ -94,9 +101,9 @@
     settings: { node: 'r1', locality: 'a', http, partners, seeds: [partners, partners, partners] },
     log: quietLog,
     surroundings: realSurroundings,
-    coreOf: bareCore,
+    openCore: inMemoryCore,
   });
-  const served = serveRouter(node, http);
+  const httpServer = serveRouter(node, http);
   const figures = { ...usualFigures, prefillUsPerByte: 1, warmPrefillUs: 1_000, pieceUs };
   let version = 0;
   const show = (servers: readonly ListedServer[]): void => {
@@ -112,7 +119,7 @@
         : open(listedAt(`w${index}`, 'status', port), 'web'),
     ),
   );
-  await served.listen();
+  await httpServer.listen();
   await node.start();
   show(servers.map((server) => server.listed));
   return {
@@ -120,17 +127,17 @@
     node,
     history,
     servers,
-    show,
-    open,
+    publishList: show,
+    openServer: open,
     send: async (body, headers = {}) => {
       try {
-        const receipt = await request(`http://${http}/exchanges`, {
+        const response = await request(`http://${http}/exchanges`, {
           method: 'POST',
           headers: { 'content-type': 'application/json', ...headers },
           body: typeof body === 'string' ? body : JSON.stringify(body),
         });
-        receipt.body.setEncoding('utf8');
-        return { status: receipt.statusCode, headers: receipt.headers, ...(await readAll(receipt.body)) };
+        response.body.setEncoding('utf8');
+        return { status: response.statusCode, headers: response.headers, ...(await readAll(response.body)) };
       } catch {
         return { status: 0, headers: {}, text: '', broken: true };
       }
@@ -138,7 +145,7 @@
     close: () => {
       for (const server of servers) server.crash();
       node.end();
-      void served.close();
+      void httpServer.close();
     },
   };
 };
--- a/tests/router/own-lateness.test.ts
+++ b/tests/router/own-lateness.test.ts
@@ -3,21 +3,21 @@
 import * as assert from 'uvu/assert';
 import { steadyClock } from '../../src/common/clock/steady-clock.js';
 import { within } from '../../src/common/clock/within.js';
-import { begunBeforeStall, stallUs, withListener } from './stand-still.js';
+import { beginThenStall, stallUs, withListener } from './event-loop-stall.js';
 
-test('a time-out that falls due while the process stood still gives way to what has come meanwhile', () =>
+test('a timeout that expires during a stall of the process yields to an event that arrived meanwhile', () =>
   withListener(async (port) => {
-    const { begun } = await begunBeforeStall(() => {
+    const { begun } = await beginThenStall(() => {
       const socket = createConnection(port, '127.0.0.1');
       socket.on('error', () => undefined);
       const connected = new Promise<true>((resolve) => socket.once('connect', () => resolve(true)));
-      return { socket, heard: within(steadyClock, connected, stallUs / 3) };
+      return { socket, result: within(steadyClock, connected, stallUs / 3) };
     });
-    assert.is(await begun.heard, true);
+    assert.is(await begun.result, true);
     begun.socket.destroy();
   }));
 
-test('a time-out still ends what does not come', async () => {
+test('a timeout without a stall still expires', async () => {
   assert.is(await within(steadyClock, new Promise<true>(() => undefined), 20_000), undefined);
 });
 
--- a/tests/router/platform.test.ts
+++ b/tests/router/platform.test.ts
@@ -3,12 +3,12 @@
 import { request } from 'undici';
 import { listedAt, openLoopback } from './loopback.js';
 
-test('an older or malformed list is rejected and changes nothing', async () => {
+test('an older or malformed server list is rejected and leaves the current one in place', async () => {
   const loopback = await openLoopback(1, 0);
   try {
     const put = async (body: string): Promise<readonly [number, string]> => {
-      const receipt = await request(`http://${loopback.http}/platform/list`, { method: 'PUT', body });
-      return [receipt.statusCode, await receipt.body.text()];
+      const response = await request(`http://${loopback.http}/platform/list`, { method: 'PUT', body });
+      return [response.statusCode, await response.body.text()];
     };
     const server = listedAt('m9', 'model', 9);
     const list = (version: number, servers: readonly unknown[]): string =>
@@ -24,10 +24,10 @@
       [list(8.5, []), 422, 'version'],
       [JSON.stringify({ version: 8, atUs: 5, servers: [], more: 1 }), 422, 'more'],
     ];
-    for (const [body, status, word] of cases) {
-      const [answered, text] = await put(body);
-      assert.is(answered, status, text);
-      assert.match(text, word);
+    for (const [body, status, fragment] of cases) {
+      const [actualStatus, text] = await put(body);
+      assert.is(actualStatus, status, text);
+      assert.match(text, fragment);
     }
     assert.is(loopback.node.spread.view().list, before);
   } finally {
@@ -35,7 +35,7 @@
   }
 });
 
-test('probes tell alive, and why a node is not ready', async () => {
+test('the live probe succeeds, and the ready probe gives the reason why a node is not ready', async () => {
   const loopback = await openLoopback(0, 0);
   try {
     const live = await request(`http://${loopback.http}/live`);
--- a/tests/router/slab.test.ts
+++ b/tests/router/slab.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { openSlab } from '../../src/router/slab/slab.js';
-import type { Ticket } from '../../src/router/slab/ticket.js';
+import type { SlabHandle } from '../../src/router/slab/slab-handle.js';
 
-test('a ticket of a former generation opens nothing, and frees nothing', () => {
-  const slab = openSlab<{ readonly ticket: Ticket; readonly name: string }>();
+test('a stale handle finds no value and frees no slot', () => {
+  const slab = openSlab<{ readonly ticket: SlabHandle; readonly name: string }>();
   const first = slab.put((ticket) => ({ ticket, name: 'first' }));
   slab.free(first.ticket);
   const second = slab.put((ticket) => ({ ticket, name: 'second' }));
