--- a/src/control/log/log-entry.ts
+++ b/src/control/log/log-entry.ts
@@ -1,6 +1,6 @@
 import type { Command } from './command.js';
 
-/** One entry of the control log. */
+/** One entry of the replicated log. */
 export type LogEntry = {
   readonly index: number;
   readonly term: number;
--- a/src/control/log/snapshot.ts
+++ b/src/control/log/snapshot.ts
@@ -1,7 +1,7 @@
 import type { Member } from '../members/member.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 
-/** The folded log up to an index. */
+/** The replicated state and the members after all entries up to `index`; replaces these entries in the log. */
 export type Snapshot = {
   readonly index: number;
   readonly term: number;
--- a/src/control/machine/bootstrap.ts
+++ b/src/control/machine/bootstrap.ts
@@ -1,19 +1,23 @@
+/**
+ * Bootstrap of a core: seeds with empty disks probe each other, and each persists an offer, the members that it agrees
+ * to start with. The core starts when all seeds that may bootstrap have made the same offer; other nodes join it.
+ */
 import { withEntry } from '../../common/maps.js';
 import type { LogEntry } from '../log/log-entry.js';
 import type { Member } from '../members/member.js';
 import { andThen, stepOf, type ControlStep } from './control-step.js';
 import type { Replica, SeedProbe } from './replica.js';
-import { entryAt, membersOf } from './log-reading.js';
+import { entryAt, membersOf } from './log-queries.js';
 import type { ControlMessage } from './message.js';
-import { drawElectionDeadline, passiveRoleOf, changeRole } from './roles.js';
-import { rejoinTimeoutUs, heartbeatIntervalUs } from './timing.js';
+import { randomElectionDeadline, passiveRoleOf, changeRole } from './roles.js';
+import { rejoinTimeoutUs, heartbeatIntervalUs } from './parameters.js';
 
 type Probe = Extract<ControlMessage, { readonly type: 'probe' | 'probeReply' }>;
 
 const isBootstrapped = (replica: Replica): boolean => membersOf(replica).length > 0;
 
-/** Asks all known addresses of the core to be taken in, or to be known where it now is. */
-export const findLeader = (replica: Replica): ControlStep => {
+/** Sends a join request to all known addresses of the core: as a new member, or as one whose address has changed. */
+export const broadcastJoin = (replica: Replica): ControlStep => {
   const addresses = new Set([
     ...replica.seeds,
     ...replica.knownAddresses,
@@ -21,7 +25,7 @@
   ]);
   addresses.delete(replica.address);
   return stepOf(
-    { ...replica, heartbeatUs: replica.atUs + rejoinTimeoutUs / 2 },
+    { ...replica, nextHeartbeatUs: replica.atUs + rejoinTimeoutUs / 2 },
     ...[...addresses].map((address) => ({
       type: 'sendTo' as const,
       address,
@@ -30,11 +34,11 @@
   );
 };
 
-/** Asks the other seeds anew; the clock and the drawn number keep the question apart from all former ones. */
+/** Probes the other seeds. The clock and the random number make the nonce differ from all earlier ones. */
 const probeSeeds = (replica: Replica, chance: number): ControlStep => {
   const nonce = `${replica.atUs}.${chance}`;
   return stepOf(
-    { ...replica, probeNonce: nonce, heartbeatUs: replica.atUs + heartbeatIntervalUs * 2 },
+    { ...replica, probeNonce: nonce, nextHeartbeatUs: replica.atUs + heartbeatIntervalUs * 2 },
     ...[...new Set([...replica.seeds, ...replica.knownAddresses])]
       .filter((address) => address !== replica.address)
       .map((address) => ({
@@ -53,26 +57,30 @@
   );
 };
 
-const parseBootstrapProposal = (offer: string): readonly Member[] => offer.split(',').map(parseMember);
+const parseOffer = (offer: string): readonly Member[] => offer.split(',').map(parseMember);
 
 const parseMember = (text: string): Member => {
   const [identity = '', address = ''] = text.split('@');
   return { identity, address, voter: true };
 };
 
-const founded = (replica: Replica, offer: string, chance: number): ControlStep => {
-  const entry: LogEntry = { index: 1, term: 0, command: { type: 'members', members: parseBootstrapProposal(offer) } };
-  const foundedReplica: Replica = { ...replica, entries: [entry], electionUs: drawElectionDeadline(replica, chance) };
+const startCore = (replica: Replica, offer: string, chance: number): ControlStep => {
+  const entry: LogEntry = { index: 1, term: 0, command: { type: 'members', members: parseOffer(offer) } };
+  const startedReplica: Replica = {
+    ...replica,
+    entries: [entry],
+    electionDeadlineUs: randomElectionDeadline(replica, chance),
+  };
   return andThen(
-    stepOf(foundedReplica, { type: 'persist', record: { type: 'entries', entries: [entry] } }),
-    (keptReplica) => changeRole(keptReplica, { role: passiveRoleOf(keptReplica) }),
+    stepOf(startedReplica, { type: 'persist', record: { type: 'entries', entries: [entry] } }),
+    (afterPersist) => changeRole(afterPersist, { role: passiveRoleOf(afterPersist) }),
   );
 };
 
 type SeedView = { readonly address: string } & SeedProbe;
 
-/** What is known of each seed by its newest probe, this machine among them; of a seed unheard so far, nothing. */
-const seenSeedsOf = (replica: Replica): readonly SeedView[] => {
+/** The last known state of each seed, this node included; a seed that has not replied yet is left out. */
+const seedViewsOf = (replica: Replica): readonly SeedView[] => {
   const ownProbe: SeedProbe = {
     identity: replica.identity,
     offer: replica.offer,
@@ -87,17 +95,17 @@
   });
 };
 
-const offerOf = (machines: readonly Pick<Member, 'identity' | 'address'>[]): string =>
-  machines
+const offerOf = (members: readonly Pick<Member, 'identity' | 'address'>[]): string =>
+  members
     .map(({ identity, address }) => `${identity}@${address}`)
     .sort()
     .join(',');
 
 /**
- * Whether all seeds that may found are bound to one proposal, and are a majority of the seeds. A seed that was wiped
- * comes back as one that may not found: it is named as a member and follows. Two cores can't both commit: a majority of
- * the one and the founders of the other share an address; the machine there would have to be founded and unfounded in
- * one life, or to have been wiped and still be allowed to found.
+ * Whether all seeds that may bootstrap have made the same offer, and are a majority of the seeds. A seed whose disk was
+ * wiped may not bootstrap any more: it is named as a member and follows. Two cores can't both commit: a majority of one
+ * and the founders of the other share an address, and the node there would have to be in a core and in none with the
+ * same identity, or to have been wiped and still be allowed to bootstrap.
  */
 const isAgreed = (seeds: readonly SeedView[], offer: string): boolean => {
   const founders = seeds.filter((seed) => seed.founds);
@@ -105,75 +113,78 @@
 };
 
 /**
- * A core is founded once, when all seeds that may found have bound themselves to the same members while all were empty.
- * A seed that has founded it already still shows its offer, or the slower ones could never follow.
+ * Makes an offer, or starts the core once all seeds that may bootstrap have made the same offer while none was in a
+ * core. A seed that has started the core still reports its offer, since the slower seeds need it to follow.
  */
 const evaluateBootstrap = (replica: Replica, chance: number): ControlStep => {
   if (isBootstrapped(replica) || !replica.founds || !replica.seeds.includes(replica.address)) return stepOf(replica);
-  const seenSeeds = seenSeedsOf(replica);
-  if (seenSeeds.length < replica.seeds.length || seenSeeds.some((seed) => seed.founded)) return stepOf(replica);
-  const offer = offerOf(seenSeeds);
-  if (replica.offer === offer) return isAgreed(seenSeeds, offer) ? founded(replica, offer, chance) : stepOf(replica);
-  if (!mayReplaceProposal(replica, seenSeeds)) return stepOf(replica);
-  const offeredStep = stepOf({ ...replica, offer }, { type: 'persist', record: { type: 'offer', offer } });
-  return andThen(offeredStep, (offeredReplica) => evaluateBootstrap(offeredReplica, chance));
+  const seedViews = seedViewsOf(replica);
+  if (seedViews.length < replica.seeds.length || seedViews.some((seed) => seed.founded)) return stepOf(replica);
+  const offer = offerOf(seedViews);
+  if (replica.offer === offer) return isAgreed(seedViews, offer) ? startCore(replica, offer, chance) : stepOf(replica);
+  if (!canReplaceOffer(replica, seedViews)) return stepOf(replica);
+  const offerStep = stepOf({ ...replica, offer }, { type: 'persist', record: { type: 'offer', offer } });
+  return andThen(offerStep, (afterOffer) => evaluateBootstrap(afterOffer, chance));
 };
 
 /**
- * A seed that is bound already may bind itself anew only while a majority of those it was bound with is seen empty and
- * unfounded: then nothing can have been taken by a core of that binding, and nothing ever will be.
+ * Whether a seed may replace its offer: only while a majority of the members that it names report that they are in no
+ * core. Then no core of that offer can have committed anything, and none ever will.
  */
-const mayReplaceProposal = (replica: Replica, seenSeeds: readonly SeedView[]): boolean => {
+const canReplaceOffer = (replica: Replica, seedViews: readonly SeedView[]): boolean => {
   if (replica.offer === undefined) return true;
-  const boundMembers = parseBootstrapProposal(replica.offer);
-  const emptyMembers = boundMembers.filter((member) => seenSeeds.some((seed) => seed.identity === member.identity));
-  return emptyMembers.length * 2 > boundMembers.length;
+  const offeredMembers = parseOffer(replica.offer);
+  const availableMembers = offeredMembers.filter((member) =>
+    seedViews.some((seed) => seed.identity === member.identity),
+  );
+  return availableMembers.length * 2 > offeredMembers.length;
 };
 
-/** Looks for a core, or for those to found it with; a sole seed waits for nobody. */
+/** Probes the other seeds for a core to join or to bootstrap; a sole seed bootstraps at once. */
 export const tryBootstrap = (replica: Replica, chance: number): ControlStep =>
-  andThen(evaluateBootstrap(replica, chance), (evaluatedReplica) => probeSeeds(evaluatedReplica, chance));
+  andThen(evaluateBootstrap(replica, chance), (afterEvaluation) => probeSeeds(afterEvaluation, chance));
 
-const namesIdentity = (offer: string, identity: string): boolean =>
-  parseBootstrapProposal(offer).some((member) => member.identity === identity);
+const hasMember = (offer: string, identity: string): boolean =>
+  parseOffer(offer).some((member) => member.identity === identity);
 
 /**
- * Follows a founder that names this machine. A binding is a promise: a core of another binding is followed only on the
- * word of a machine that the own binding names, since that one has never bound itself to the own binding and never will.
+ * Starts the core that the sender of a probe has started, if its offer names this node. A node must not contradict its
+ * own offer: a core of another offer is followed only if the sender is a member of this node's own offer, since that
+ * member then has never made this node's offer and never will.
  */
-const adoptBootstrap = (replica: Replica, message: Probe, chance: number): ControlStep => {
+const followBootstrap = (replica: Replica, message: Probe, chance: number): ControlStep => {
   const { offer } = message;
-  const isPromisedElsewhere =
-    replica.offer !== undefined && replica.offer !== offer && !namesIdentity(replica.offer, message.identity);
+  const hasConflictingOffer =
+    replica.offer !== undefined && replica.offer !== offer && !hasMember(replica.offer, message.identity);
   return !isBootstrapped(replica) &&
     message.founded &&
     offer !== undefined &&
-    !isPromisedElsewhere &&
-    namesIdentity(offer, replica.identity)
-    ? founded(replica, offer, chance)
+    !hasConflictingOffer &&
+    hasMember(offer, replica.identity)
+    ? startCore(replica, offer, chance)
     : evaluateBootstrap(replica, chance);
 };
 
 /**
- * Whether an append would bring an unfounded machine into a core that it has promised not to follow: one that has
- * committed nothing, led by a machine that the own binding does not name.
+ * Whether an append comes from a core that contradicts this node's offer: this node is in no core yet, the core has
+ * committed nothing, and its leader is not a member of the offer.
  */
-export const isOfRefusedCore = (replica: Replica, from: string, leaderCommit: number): boolean =>
-  !isBootstrapped(replica) && replica.offer !== undefined && leaderCommit === 0 && !namesIdentity(replica.offer, from);
+export const isFromRejectedCore = (replica: Replica, from: string, leaderCommit: number): boolean =>
+  !isBootstrapped(replica) && replica.offer !== undefined && leaderCommit === 0 && !hasMember(replica.offer, from);
 
 /**
- * Takes note of what a seed replied. Only the first reply to the newest question counts: so the lives that are seen at
- * one address never go back, and neither do the bindings that are made of them.
+ * Records the reply of a seed. Only the first reply to the last probe counts, so the identities seen at an address
+ * never go back to an earlier one, and neither do the offers that are made from them.
  */
-const noteReply = (replica: Replica, message: Probe): Replica => {
+const recordReply = (replica: Replica, message: Probe): Replica => {
   const { identity, address, offer, founded: isFounded, founds, nonce } = message;
-  const isCounted =
+  const isFirstReply =
     message.type === 'probeReply' && nonce === replica.probeNonce && replica.probes.get(address)?.nonce !== nonce;
   const probe: SeedProbe = { identity, offer, founded: isFounded, founds, nonce };
-  return isCounted ? { ...replica, probes: withEntry(replica.probes, address, probe) } : replica;
+  return isFirstReply ? { ...replica, probes: withEntry(replica.probes, address, probe) } : replica;
 };
 
-const askToJoin = (replica: Replica, address: string): ControlStep =>
+const requestJoin = (replica: Replica, address: string): ControlStep =>
   stepOf(replica, {
     type: 'sendTo',
     address,
@@ -181,10 +192,10 @@
   });
 
 /**
- * The binding that a machine shows. Once it is in a core that is the one the core was founded by, which need not be the
- * last that it bound itself to; a core whose founding entry is folded away is joined, not followed from its start.
+ * The offer that this node reports. A node in a core reports the one that the core started with, which need not be its
+ * own last offer, or none if that entry has been compacted: the core is then joined, not followed from its first entry.
  */
-const announcedOfferOf = (replica: Replica): string | undefined => {
+const reportedOfferOf = (replica: Replica): string | undefined => {
   if (!isBootstrapped(replica)) return replica.offer;
   const command = entryAt(replica, 1)?.command;
   return command?.type === 'members' ? offerOf(command.members) : undefined;
@@ -200,20 +211,18 @@
       address: replica.address,
       founded: isBootstrapped(replica),
       founds: replica.founds,
-      offer: announcedOfferOf(replica),
+      offer: reportedOfferOf(replica),
       nonce,
     },
   });
 
-/** Takes note of another seed: founds or follows a core with it, asks to join the one that it is in, and replies. */
+/**
+ * Handles a probe or its reply: bootstraps or follows a core, asks to join the sender's core, and replies to a probe.
+ */
 export const onProbe = (replica: Replica, message: Probe, chance: number): ControlStep => {
-  const adoptedStep = adoptBootstrap(noteReply(replica, message), message, chance);
-  const joinedStep = andThen(adoptedStep, (adoptedReplica) =>
-    message.founded && !isBootstrapped(adoptedReplica)
-      ? askToJoin(adoptedReplica, message.address)
-      : stepOf(adoptedReplica),
+  const followStep = followBootstrap(recordReply(replica, message), message, chance);
+  const joinStep = andThen(followStep, (afterFollow) =>
+    message.founded && !isBootstrapped(afterFollow) ? requestJoin(afterFollow, message.address) : stepOf(afterFollow),
   );
-  return message.type === 'probeReply'
-    ? joinedStep
-    : andThen(joinedStep, (joinedReplica) => replyToProbe(joinedReplica, message));
+  return message.type === 'probeReply' ? joinStep : andThen(joinStep, (afterJoin) => replyToProbe(afterJoin, message));
 };
--- a/src/control/machine/commit.ts
+++ b/src/control/machine/commit.ts
@@ -2,10 +2,10 @@
 import type { ControlEffect } from './control-effect.js';
 import { andThen, forEachStep, stepOf, type ControlStep } from './control-step.js';
 import type { Replica } from './replica.js';
-import { entriesFrom, entryAt, lastIndexOf, membersOf, termAt, textCharsOf, votersOf } from './log-reading.js';
+import { entriesFrom, entryAt, lastIndexOf, membersOf, termAt, documentCharsOf, votersOf } from './log-queries.js';
 import { passiveRoleOf, changeRole } from './roles.js';
-import { holdsBackCompaction } from './snapshot-transfer.js';
-import { heldCompactionFactor, maxLogEntries, maxLogConfigurations, maxAppendTextChars } from './timing.js';
+import { isCompactionDeferred } from './snapshot-transfer.js';
+import { deferredCompactionFactor, maxLogEntries, maxLogSetups, maxBatchDocumentChars } from './parameters.js';
 
 const applyEntry = (replica: Replica, index: number): ControlStep => {
   const entry = entryAt(replica, index);
@@ -26,48 +26,53 @@
   return { replica: { ...replica, state, pendingRequests, commit: index }, effects };
 };
 
-/** Folds the log up to what is committed into the snapshot. */
+/** Compacts the log: replaces all committed entries by a snapshot. */
 export const compactLog = (replica: Replica): Replica => {
   if (replica.commit === replica.snapshot.index) return replica;
-  const keptEntries = entriesFrom(replica, replica.commit + 1, replica.entries.length);
-  const foldedEntries = replica.entries.slice(0, replica.entries.length - keptEntries.length);
+  const remainingEntries = entriesFrom(replica, replica.commit + 1, replica.entries.length);
+  const compactedEntries = replica.entries.slice(0, replica.entries.length - remainingEntries.length);
   return {
     ...replica,
     snapshot: {
       index: replica.commit,
       term: termAt(replica, replica.commit) ?? replica.snapshot.term,
-      members: membersOf({ snapshot: replica.snapshot, entries: foldedEntries }),
+      members: membersOf({ snapshot: replica.snapshot, entries: compactedEntries }),
       state: replica.state,
     },
-    entries: keptEntries,
+    entries: remainingEntries,
   };
 };
 
-/** Whether the log is to be folded: it has many entries, or many or large configurations. */
-const needsCompaction = (replica: Replica): boolean => {
-  const factor = holdsBackCompaction(replica) ? heldCompactionFactor : 1;
+/** Whether the log holds too many entries, too many setups, or setups with too large documents. */
+const isCompactionDue = (replica: Replica): boolean => {
+  const factor = isCompactionDeferred(replica) ? deferredCompactionFactor : 1;
   return (
     replica.entries.length > maxLogEntries * factor ||
-    replica.entries.filter((entry) => entry.command.type === 'setup').length > maxLogConfigurations * factor ||
-    replica.entries.reduce((sum, entry) => sum + textCharsOf(entry), 0) > maxAppendTextChars * 4 * factor
+    replica.entries.filter((entry) => entry.command.type === 'setup').length > maxLogSetups * factor ||
+    replica.entries.reduce((sum, entry) => sum + documentCharsOf(entry), 0) > maxBatchDocumentChars * 4 * factor
   );
 };
 
-/** Commits up to an index: applies, answers, folds. */
+/**
+ * Moves the commit index up: applies the entries, replies to their requests, and compacts the log if it is too large.
+ */
 export const commitTo = (replica: Replica, index: number): ControlStep => {
-  const reachedIndex = Math.min(index, lastIndexOf(replica));
-  if (reachedIndex <= replica.commit) return stepOf(replica);
-  const indexes = Array.from({ length: reachedIndex - replica.commit }, (_, place) => replica.commit + 1 + place);
+  const newCommit = Math.min(index, lastIndexOf(replica));
+  if (newCommit <= replica.commit) return stepOf(replica);
+  const indexes = Array.from({ length: newCommit - replica.commit }, (_, offset) => replica.commit + 1 + offset);
   const step = forEachStep(stepOf(replica), indexes, applyEntry);
-  const reachedReplica = needsCompaction(step.replica) ? compactLog(step.replica) : step.replica;
-  return andThen({ replica: reachedReplica, effects: step.effects }, (foldedReplica) =>
-    foldedReplica.role === 'learner' || foldedReplica.role === 'follower' || foldedReplica.role === 'unfounded'
-      ? changeRole(foldedReplica, { role: passiveRoleOf(foldedReplica) })
-      : stepOf(foldedReplica),
+  const appliedReplica = isCompactionDue(step.replica) ? compactLog(step.replica) : step.replica;
+  return andThen({ replica: appliedReplica, effects: step.effects }, (afterCompaction) =>
+    afterCompaction.role === 'learner' || afterCompaction.role === 'follower' || afterCompaction.role === 'unfounded'
+      ? changeRole(afterCompaction, { role: passiveRoleOf(afterCompaction) })
+      : stepOf(afterCompaction),
   );
 };
 
-/** What a majority of voters holds, counting only entries of the leader's own term. */
+/**
+ * Commits up to the highest index that a majority of the voters holds, if that entry is of the leader's own term: Raft
+ * commits entries of earlier terms only together with one of the current term.
+ */
 export const advanceCommit = (replica: Replica): ControlStep => {
   const voters = votersOf(replica);
   const matches = voters
@@ -75,6 +80,6 @@
       voter.identity === replica.identity ? lastIndexOf(replica) : (replica.progress.get(voter.identity)?.match ?? 0),
     )
     .sort((left, right) => right - left);
-  const heldIndex = matches[Math.floor(voters.length / 2)] ?? 0;
-  return termAt(replica, heldIndex) === replica.term ? commitTo(replica, heldIndex) : stepOf(replica);
+  const majorityIndex = matches[Math.floor(voters.length / 2)] ?? 0;
+  return termAt(replica, majorityIndex) === replica.term ? commitTo(replica, majorityIndex) : stepOf(replica);
 };
--- a/src/control/machine/control-effect.ts
+++ b/src/control/machine/control-effect.ts
@@ -5,7 +5,11 @@
 import type { ControlMessage } from './message.js';
 import type { Role } from './role.js';
 
-/** What the control machine wants done. All that is to be kept is synced before anything else happens. */
+/**
+ * What the caller of the control state machine has to do. All records of a step are synced to disk before any other
+ * effect of the step is executed. `send` addresses a member by its identity, `sendTo` a node by its address; `taken`
+ * reports a newly committed setup.
+ */
 export type ControlEffect =
   | { readonly type: 'persist'; readonly record: DurableRecord }
   | { readonly type: 'send'; readonly to: string; readonly message: ControlMessage }
--- a/src/control/machine/control-step.ts
+++ b/src/control/machine/control-step.ts
@@ -1,7 +1,7 @@
 import type { ControlEffect } from './control-effect.js';
 import type { Replica } from './replica.js';
 
-/** A new replica of a core machine and what it wants done. */
+/** The result of a step: the replica after it, and the effects to execute, in order. */
 export type ControlStep = {
   readonly replica: Replica;
   readonly effects: readonly ControlEffect[];
@@ -9,6 +9,7 @@
 
 export const stepOf = (replica: Replica, ...effects: readonly ControlEffect[]): ControlStep => ({ replica, effects });
 
+/** Continues a step with the replica that it led to, and concatenates the effects. */
 export const andThen = (step: ControlStep, next: (replica: Replica) => ControlStep): ControlStep => {
   const nextStep = next(step.replica);
   return { replica: nextStep.replica, effects: [...step.effects, ...nextStep.effects] };
@@ -18,4 +19,4 @@
   step: ControlStep,
   items: readonly T[],
   next: (replica: Replica, item: T) => ControlStep,
-): ControlStep => items.reduce((reachedStep, item) => andThen(reachedStep, (replica) => next(replica, item)), step);
+): ControlStep => items.reduce((previousStep, item) => andThen(previousStep, (replica) => next(replica, item)), step);
--- a/src/control/machine/elections.ts
+++ b/src/control/machine/elections.ts
@@ -1,12 +1,15 @@
 import type { ControlMessage } from './message.js';
 import { andThen, stepOf, type ControlStep } from './control-step.js';
 import type { Replica } from './replica.js';
-import { isVoter, lastIndexOf, lastTermOf, votersOf } from './log-reading.js';
-import { appendCommand, newProgress, otherMembersOf } from './replication.js';
-import { drawElectionDeadline, becomeFollower, changeRole } from './roles.js';
-import { electionTimeoutUs, heartbeatIntervalUs } from './timing.js';
+import { isVoter, lastIndexOf, lastTermOf, votersOf } from './log-queries.js';
+import { appendCommand, initialProgress, otherMemberIdentities } from './replication.js';
+import { randomElectionDeadline, becomeFollower, changeRole } from './roles.js';
+import { electionTimeoutUs, heartbeatIntervalUs } from './parameters.js';
 
-/** Votes are counted by the candidate's own newest members, committed or not, whatever the granting machines know of them. */
+/**
+ * Counts votes by the last membership in the candidate's log, committed or not; the memberships of the granters don't
+ * matter.
+ */
 const isMajority = (replica: Replica, votes: ReadonlySet<string>): boolean => {
   const voters = votersOf(replica);
   return voters.filter((voter) => votes.has(voter.identity)).length * 2 > voters.length;
@@ -25,78 +28,77 @@
   );
 
 const becomeLeader = (replica: Replica): ControlStep => {
-  const leadingStep = changeRole(replica, {
+  const leaderStep = changeRole(replica, {
     role: 'leader',
     leader: replica.identity,
-    leadsSinceUs: replica.atUs,
-    heartbeatUs: replica.atUs + heartbeatIntervalUs,
+    leaderSinceUs: replica.atUs,
+    nextHeartbeatUs: replica.atUs + heartbeatIntervalUs,
     partialSnapshot: undefined,
-    progress: new Map(otherMembersOf(replica).map((identity) => [identity, newProgress(replica)])),
+    progress: new Map(otherMemberIdentities(replica).map((identity) => [identity, initialProgress(replica)])),
     reads: [],
     pendingRequests: new Map(),
   });
-  return andThen(leadingStep, (leadingReplica) => appendCommand(leadingReplica, { type: 'start-term' }, undefined));
+  return andThen(leaderStep, (leaderReplica) => appendCommand(leaderReplica, { type: 'start-term' }, undefined));
 };
 
-/** Stands for election in a new term, of which the vote for itself is kept first. */
+/** Becomes a candidate in a new term. The vote for itself is persisted before vote requests are sent. */
 export const startElection = (replica: Replica, chance: number): ControlStep => {
   const term = replica.term + 1;
-  const standing = changeRole(
+  const candidacy = changeRole(
     { ...replica, term, votedFor: replica.identity },
     {
       role: 'candidate',
       leader: undefined,
       votes: new Set([replica.identity]),
-      electionUs: drawElectionDeadline(replica, chance),
+      electionDeadlineUs: randomElectionDeadline(replica, chance),
     },
   );
-  const kept: ControlStep = {
-    replica: standing.replica,
-    effects: [{ type: 'persist', record: { type: 'vote', term, votedFor: replica.identity } }, ...standing.effects],
+  const persistedStep: ControlStep = {
+    replica: candidacy.replica,
+    effects: [{ type: 'persist', record: { type: 'vote', term, votedFor: replica.identity } }, ...candidacy.effects],
   };
-  return andThen(kept, (standingReplica) =>
-    isMajority(standingReplica, standingReplica.votes)
-      ? becomeLeader(standingReplica)
-      : requestVotes(standingReplica, 'vote', term),
+  return andThen(persistedStep, (candidate) =>
+    isMajority(candidate, candidate.votes) ? becomeLeader(candidate) : requestVotes(candidate, 'vote', term),
   );
 };
 
 /**
- * Pre-vote: asks first whether an election could be won, which disturbs nobody. A machine that its newest members entry
- * doesn't name as a voter never stands: whoever holds the entry that promotes it has the longer log and stands instead.
+ * Starts a pre-vote (Raft): finds out whether an election could be won, without a new term that would depose a leader.
+ * A node that is not a voter by the last membership in its own log never starts one: a node that holds the entry which
+ * promotes it has the longer log and starts one instead.
  */
 export const startPreVote = (replica: Replica, chance: number): ControlStep => {
   if (!isVoter(replica, replica.identity))
-    return stepOf({ ...replica, electionUs: drawElectionDeadline(replica, chance) });
-  const feeling = changeRole(replica, {
+    return stepOf({ ...replica, electionDeadlineUs: randomElectionDeadline(replica, chance) });
+  const preCandidacy = changeRole(replica, {
     role: 'pre-candidate',
     leader: undefined,
     votes: new Set([replica.identity]),
-    electionUs: drawElectionDeadline(replica, chance),
+    electionDeadlineUs: randomElectionDeadline(replica, chance),
   });
-  return andThen(feeling, (feelingReplica) =>
-    isMajority(feelingReplica, feelingReplica.votes)
-      ? startElection(feelingReplica, chance)
-      : requestVotes(feelingReplica, 'preVote', feelingReplica.term + 1),
+  return andThen(preCandidacy, (preCandidate) =>
+    isMajority(preCandidate, preCandidate.votes)
+      ? startElection(preCandidate, chance)
+      : requestVotes(preCandidate, 'preVote', preCandidate.term + 1),
   );
 };
 
-/** The election restriction, from which leader completeness follows: no vote for a log that ends earlier than the own. */
+/** Raft's election restriction: no vote for a candidate whose log is behind. Leader completeness follows from it. */
 const isUpToDate = (replica: Replica, lastIndex: number, lastTerm: number): boolean =>
   lastTerm > lastTermOf(replica) || (lastTerm === lastTermOf(replica) && lastIndex >= lastIndexOf(replica));
 
 /**
- * Pre-vote: granted by log and silence of the leader alone. Whether the granting machine is a voter is counted by the
- * candidate, since the entry that makes this machine a voter may not have reached it yet.
+ * Grants a pre-vote if the candidate's log is up to date and no leader has been in contact for an election timeout. A
+ * learner grants it too, since the entry that promotes it may not have arrived yet; the candidate counts voters only.
  */
 export const onPreVoteRequest = (
   replica: Replica,
   from: string,
   message: Extract<ControlMessage, { readonly type: 'preVote' }>,
 ): ControlStep => {
-  const hearsLeader = replica.role === 'leader' || replica.atUs < replica.leaderContactUs + electionTimeoutUs;
+  const hasLeaderContact = replica.role === 'leader' || replica.atUs < replica.leaderContactUs + electionTimeoutUs;
   const granted =
-    !hearsLeader && message.term > replica.term && isUpToDate(replica, message.lastIndex, message.lastTerm);
+    !hasLeaderContact && message.term > replica.term && isUpToDate(replica, message.lastIndex, message.lastTerm);
   return stepOf(replica, {
     type: 'send',
     to: from,
@@ -117,15 +119,19 @@
   return isMajority(replica, votes) ? startElection(replica, chance) : stepOf({ ...replica, votes });
 };
 
-/** Grants one vote a term by the log alone, also as a machine that is no voter by its own log; persisted before it is said. */
+/**
+ * Grants one vote per term, to a candidate whose log is up to date, and persists it before the reply is sent. A learner
+ * grants it too, since the entry that promotes it may not have arrived yet; the candidate counts voters only.
+ */
 export const onVoteRequest = (
   replica: Replica,
   from: string,
   message: Extract<ControlMessage, { readonly type: 'vote' }>,
   chance: number,
 ): ControlStep => {
-  const isFree = replica.votedFor === undefined || replica.votedFor === from;
-  const granted = message.term === replica.term && isFree && isUpToDate(replica, message.lastIndex, message.lastTerm);
+  const hasNoOtherVote = replica.votedFor === undefined || replica.votedFor === from;
+  const granted =
+    message.term === replica.term && hasNoOtherVote && isUpToDate(replica, message.lastIndex, message.lastTerm);
   const reply = {
     type: 'send' as const,
     to: from,
@@ -133,7 +139,7 @@
   };
   return granted
     ? stepOf(
-        { ...replica, votedFor: from, electionUs: drawElectionDeadline(replica, chance) },
+        { ...replica, votedFor: from, electionDeadlineUs: randomElectionDeadline(replica, chance) },
         { type: 'persist', record: { type: 'vote', term: replica.term, votedFor: from } },
         reply,
       )
@@ -147,6 +153,6 @@
 ): ControlStep => {
   if (replica.role !== 'candidate' || !message.granted || message.term !== replica.term) return stepOf(replica);
   const votes = new Set([...replica.votes, from]);
-  const votedReplica = { ...replica, votes };
-  return isMajority(replica, votes) ? becomeLeader(votedReplica) : stepOf(votedReplica);
+  const afterVote = { ...replica, votes };
+  return isMajority(replica, votes) ? becomeLeader(afterVote) : stepOf(afterVote);
 };
--- a/src/control/machine/follower.ts
+++ b/src/control/machine/follower.ts
@@ -4,9 +4,9 @@
 import { commitTo } from './commit.js';
 import { andThen, stepOf, type ControlStep } from './control-step.js';
 import type { Replica } from './replica.js';
-import { entriesFrom, lastIndexOf, termAt } from './log-reading.js';
+import { entriesFrom, lastIndexOf, termAt } from './log-queries.js';
 import type { ControlMessage } from './message.js';
-import { isWhole, withPiece } from './partial-snapshot.js';
+import { isComplete, appendPiece } from './partial-snapshot.js';
 import { becomeFollower, replaceLogSuffix } from './roles.js';
 
 type Append = Extract<ControlMessage, { readonly type: 'append' }>;
@@ -18,42 +18,46 @@
 const replyToAppend = (replica: Replica, to: string, matches: boolean, index: number, round: number): ControlStep =>
   stepOf(replica, { type: 'send', to, message: { type: 'appendReply', term: replica.term, matches, index, round } });
 
-const firstConflictingPlace = (replica: Replica, entries: readonly LogEntry[]): number =>
+const firstConflictingOffset = (replica: Replica, entries: readonly LogEntry[]): number =>
   entries.findIndex((entry) => entry.index > replica.snapshot.index && termAt(replica, entry.index) !== entry.term);
 
 const storeEntries = (replica: Replica, entries: readonly LogEntry[]): ControlStep => {
-  const newPlace = firstConflictingPlace(replica, entries);
-  if (newPlace < 0) return stepOf(replica);
-  const newEntries = entries.slice(newPlace);
+  const firstNewOffset = firstConflictingOffset(replica, entries);
+  if (firstNewOffset < 0) return stepOf(replica);
+  const newEntries = entries.slice(firstNewOffset);
   return stepOf(replaceLogSuffix(replica, newEntries), {
     type: 'persist',
     record: { type: 'entries', entries: newEntries },
   });
 };
 
+/**
+ * Handles AppendEntries (Raft): consistency check, replacement of conflicting entries, and commit up to the leader's
+ * index.
+ */
 export const onAppend = (replica: Replica, from: string, message: Append, chance: number): ControlStep => {
   if (message.term < replica.term) return replyToAppend(replica, from, false, lastIndexOf(replica), message.round);
-  return andThen(recordLeaderContact(replica, from, chance), (heardReplica) => {
-    const isBehindSnapshot = message.previousIndex < heardReplica.snapshot.index;
-    if (!isBehindSnapshot && termAt(heardReplica, message.previousIndex) !== message.previousTerm)
+  return andThen(recordLeaderContact(replica, from, chance), (afterContact) => {
+    const isBehindSnapshot = message.previousIndex < afterContact.snapshot.index;
+    if (!isBehindSnapshot && termAt(afterContact, message.previousIndex) !== message.previousTerm)
       return replyToAppend(
-        heardReplica,
+        afterContact,
         from,
         false,
-        Math.min(lastIndexOf(heardReplica), message.previousIndex - 1),
+        Math.min(lastIndexOf(afterContact), message.previousIndex - 1),
         message.round,
       );
-    const reachedIndex = message.previousIndex + message.entries.length;
+    const lastNewIndex = message.previousIndex + message.entries.length;
     return andThen(
-      andThen(storeEntries(heardReplica, message.entries), (longerReplica) =>
-        commitTo(longerReplica, Math.min(message.commit, reachedIndex)),
+      andThen(storeEntries(afterContact, message.entries), (afterStore) =>
+        commitTo(afterStore, Math.min(message.commit, lastNewIndex)),
       ),
-      (reachedReplica) =>
+      (afterCommit) =>
         replyToAppend(
-          reachedReplica,
+          afterCommit,
           from,
           true,
-          Math.max(reachedIndex, Math.min(reachedReplica.commit, lastIndexOf(reachedReplica))),
+          Math.max(lastNewIndex, Math.min(afterCommit.commit, lastIndexOf(afterCommit))),
           message.round,
         ),
     );
@@ -75,8 +79,9 @@
   });
 
 /**
- * Takes a piece of a snapshot from the leader when its log no longer reaches back far enough, and installs the snapshot
- * with the last piece. A whole text that differs from its digest is dropped and asked for again.
+ * Stores a piece of a snapshot, which the leader sends if its log no longer holds the entries that this replica lacks,
+ * and installs the snapshot with the last piece. A complete text that does not match its digest is dropped and
+ * requested again from the start.
  */
 export const onInstallSnapshot = (
   replica: Replica,
@@ -85,37 +90,37 @@
   chance: number,
 ): ControlStep => {
   if (message.term < replica.term) return replyToAppend(replica, from, false, lastIndexOf(replica), message.round);
-  return andThen(recordLeaderContact(replica, from, chance), (heardReplica) => {
-    if (message.snapshotIndex <= heardReplica.commit)
+  return andThen(recordLeaderContact(replica, from, chance), (afterContact) => {
+    if (message.snapshotIndex <= afterContact.commit)
       return replyToAppend(
-        { ...heardReplica, partialSnapshot: undefined },
+        { ...afterContact, partialSnapshot: undefined },
         from,
         true,
-        heardReplica.commit,
+        afterContact.commit,
         message.round,
       );
-    const partialSnapshot = withPiece(heardReplica.partialSnapshot, message);
-    if (!isWhole(partialSnapshot))
+    const partialSnapshot = appendPiece(afterContact.partialSnapshot, message);
+    if (!isComplete(partialSnapshot))
       return acknowledgePiece(
-        { ...heardReplica, partialSnapshot },
+        { ...afterContact, partialSnapshot },
         from,
         message,
         partialSnapshot.snapshotIndex === message.snapshotIndex ? partialSnapshot.text.length : 0,
       );
-    const emptiedReplica: Replica = { ...heardReplica, partialSnapshot: undefined };
+    const clearedReplica: Replica = { ...afterContact, partialSnapshot: undefined };
     return decodeSnapshotText(partialSnapshot.text, partialSnapshot.digest).caseOf({
-      Left: () => acknowledgePiece(emptiedReplica, from, message, 0),
+      Left: () => acknowledgePiece(clearedReplica, from, message, 0),
       Right: (snapshot) =>
         snapshot.index === message.snapshotIndex && snapshot.term === message.snapshotTerm
-          ? installSnapshot(emptiedReplica, from, snapshot, message.round)
-          : acknowledgePiece(emptiedReplica, from, message, 0),
+          ? installSnapshot(clearedReplica, from, snapshot, message.round)
+          : acknowledgePiece(clearedReplica, from, message, 0),
     });
   });
 };
 
 /**
- * Installs a whole snapshot. What stands behind it in the same log stays: it may have been acknowledged before a late
- * snapshot came.
+ * Installs a complete snapshot. Entries after it are retained if the log agrees with it: they may have been
+ * acknowledged before a delayed snapshot arrived.
  */
 const installSnapshot = (replica: Replica, from: string, snapshot: Snapshot, round: number): ControlStep => {
   const entries =
@@ -123,12 +128,12 @@
       ? entriesFrom(replica, snapshot.index + 1, replica.entries.length)
       : [];
   const installedReplica: Replica = { ...replica, snapshot, entries, commit: snapshot.index, state: snapshot.state };
-  const kept = stepOf(
+  const persistedStep = stepOf(
     installedReplica,
     { type: 'persist', record: { type: 'snapshot', snapshot } },
     ...(entries.length === 0 ? [] : [{ type: 'persist' as const, record: { type: 'entries' as const, entries } }]),
     { type: 'members', members: snapshot.members },
     ...(snapshot.state.record === undefined ? [] : [{ type: 'taken' as const, record: snapshot.state.record }]),
   );
-  return andThen(kept, (keptReplica) => replyToAppend(keptReplica, from, true, snapshot.index, round));
+  return andThen(persistedStep, (afterPersist) => replyToAppend(afterPersist, from, true, snapshot.index, round));
 };
--- a/src/control/machine/invariants.ts
+++ b/src/control/machine/invariants.ts
@@ -2,17 +2,17 @@
 import type { DurableRecord } from '../log/durable-record.js';
 import type { LogEntry } from '../log/log-entry.js';
 import type { ControlStep } from './control-step.js';
-import { lastIndexOf, lastTermOf, termAt } from './log-reading.js';
+import { lastIndexOf, lastTermOf, termAt } from './log-queries.js';
 import type { Replica } from './replica.js';
 
 /**
- * The rules that every step of a replica must keep, whatever it is sent. Each check costs as much as the change that
- * the step made, never as much as the whole log. A broken rule throws: the caller must neither persist nor send
- * anything of that step.
+ * The Raft invariants that every step must preserve, whatever messages arrive; `former` is the replica before the step.
+ * The cost of a check is proportional to the change that the step made, not to the length of the log. A violation
+ * throws: the caller must then neither persist nor send anything of that step.
  */
 
 const checkTermAndVote = (former: Replica, replica: Replica): void => {
-  invariant(replica.term >= former.term, `the term fell from ${former.term} to ${replica.term}`);
+  invariant(replica.term >= former.term, `the term decreased from ${former.term} to ${replica.term}`);
   if (replica.term > former.term || former.votedFor === undefined) return;
   invariant(
     replica.votedFor === former.votedFor,
@@ -23,45 +23,50 @@
 const checkCommit = (former: Replica, replica: Replica): void => {
   const lastIndex = lastIndexOf(replica);
   const commitTerm = termAt(replica, replica.commit);
-  invariant(replica.commit >= former.commit, `the commit index fell from ${former.commit} to ${replica.commit}`);
+  invariant(replica.commit >= former.commit, `the commit index decreased from ${former.commit} to ${replica.commit}`);
   invariant(replica.commit <= lastIndex, `the commit index ${replica.commit} is past the end of the log, ${lastIndex}`);
   invariant(
     commitTerm !== undefined && commitTerm <= replica.term,
-    `the committed entry ${replica.commit} is of term ${commitTerm}, the replica in term ${replica.term}`,
+    `the committed entry ${replica.commit} has term ${commitTerm}, the replica is in term ${replica.term}`,
   );
   if (former.commit < replica.snapshot.index) return;
   const formerTerm = termAt(former, former.commit);
-  const keptTerm = termAt(replica, former.commit);
+  const commitTermNow = termAt(replica, former.commit);
   invariant(
-    keptTerm === formerTerm,
-    `the committed entry ${former.commit} changed from term ${formerTerm} to ${keptTerm}`,
+    commitTermNow === formerTerm,
+    `the committed entry ${former.commit} changed from term ${formerTerm} to ${commitTermNow}`,
   );
 };
 
-/** The shape of the log: contiguous behind its snapshot, and the snapshot holds committed entries only. */
+/** Throws unless the log continues its snapshot without a gap and the snapshot holds committed entries only. */
 export const checkLogShape = (replica: Replica): void => {
   const { snapshot, entries, commit } = replica;
   const [firstEntry] = entries;
-  invariant(snapshot.index <= commit, `the snapshot ends at ${snapshot.index}, past the commit index ${commit}`);
+  invariant(snapshot.index <= commit, `the snapshot ends at index ${snapshot.index}, past the commit index ${commit}`);
   invariant(
     firstEntry === undefined || firstEntry.index === snapshot.index + 1,
-    `the log begins at ${firstEntry?.index} behind a snapshot that ends at ${snapshot.index}`,
+    `the log starts at index ${firstEntry?.index} after a snapshot that ends at index ${snapshot.index}`,
   );
   invariant(
     lastIndexOf(replica) === snapshot.index + entries.length,
-    `the log of ${entries.length} entries ends at ${lastIndexOf(replica)} behind a snapshot that ends at ${snapshot.index}`,
+    `the log of ${entries.length} entries ends at index ${lastIndexOf(replica)} after a snapshot that ends at index ${snapshot.index}`,
   );
 };
 
 const checkContiguous = (entries: readonly LogEntry[]): void =>
-  entries.forEach((entry, place) => {
-    const previous = entries[place - 1];
+  entries.forEach((entry, offset) => {
+    const previous = entries[offset - 1];
     if (previous === undefined) return;
-    invariant(entry.index === previous.index + 1, `entry ${entry.index} follows entry ${previous.index}`);
-    invariant(entry.term >= previous.term, `entry ${entry.index} has term ${entry.term}, below ${previous.term}`);
+    invariant(entry.index === previous.index + 1, `entry ${entry.index} directly follows entry ${previous.index}`);
+    invariant(
+      entry.term >= previous.term,
+      `entry ${entry.index} has term ${entry.term}, below the previous term ${previous.term}`,
+    );
   });
 
-/** What is written over the log must begin behind the commit index, and a leader only appends. */
+/**
+ * Persisted entries must start after the commit index, and a leader only appends to its own log (leader append-only).
+ */
 const checkWrittenEntries = (former: Replica, replica: Replica, entries: readonly LogEntry[]): void => {
   const firstIndex = entries[0]?.index;
   if (firstIndex === undefined) return;
@@ -83,11 +88,11 @@
   const vote = voteRecordOf(records);
   invariant(
     vote?.term === replica.term && vote.votedFor === replica.votedFor,
-    `term ${replica.term} with a vote for ${replica.votedFor} is not persisted`,
+    `term ${replica.term} with a vote for ${replica.votedFor} was not persisted`,
   );
 };
 
-const endOf = (record: DurableRecord): { readonly index: number; readonly term: number } | undefined => {
+const lastEntryOf = (record: DurableRecord): { readonly index: number; readonly term: number } | undefined => {
   if (record.type === 'snapshot') return record.snapshot;
   return record.type === 'entries' ? record.entries.at(-1) : undefined;
 };
@@ -96,15 +101,15 @@
   const lastIndex = lastIndexOf(replica);
   const lastTerm = lastTermOf(replica);
   if (lastIndex === lastIndexOf(former) && lastTerm === lastTermOf(former)) return;
-  const end = records.flatMap((record) => endOf(record) ?? []).at(-1);
+  const lastPersisted = records.flatMap((record) => lastEntryOf(record) ?? []).at(-1);
   invariant(
-    end?.index === lastIndex && end.term === lastTerm,
-    `the log up to entry ${lastIndex} of term ${lastTerm} is not persisted`,
+    lastPersisted?.index === lastIndex && lastPersisted.term === lastTerm,
+    `the log up to entry ${lastIndex} of term ${lastTerm} was not persisted`,
   );
 };
 
-/** Gives a step back unless it breaks a rule of the replicated log; then it throws. */
-export const checkedStep = (former: Replica, step: ControlStep): ControlStep => {
+/** Returns the step unchanged; throws if it violates an invariant. */
+export const checkStepInvariants = (former: Replica, step: ControlStep): ControlStep => {
   const { replica, effects } = step;
   const records = effects.flatMap((effect) => (effect.type === 'persist' ? [effect.record] : []));
   checkTermAndVote(former, replica);
--- a/src/control/machine/message.ts
+++ b/src/control/machine/message.ts
@@ -1,16 +1,18 @@
 import type { LogEntry } from '../log/log-entry.js';
 
-/** What core machines say to each other. */
+/** The messages between control nodes: bootstrap and joins, and the RPCs of Raft, each with its reply. */
 export type ControlMessage =
   | {
       readonly type: 'probe';
       readonly identity: string;
       readonly address: string;
+      /** Whether the sender is in a core. */
       readonly founded: boolean;
-      /** Whether it may found a core; one that may not can still be named as a member of it. */
+      /** Whether the sender may bootstrap a core; if not, it can still be a member of one that others bootstrap. */
       readonly founds: boolean;
-      /** Names the question, so that a reply to an older one does not count. */
+      /** Relates a reply to its probe; replies with an earlier nonce are ignored. */
       readonly nonce: string;
+      /** The members that the sender has agreed to start a core with. */
       readonly offer?: string;
     }
   | {
@@ -23,9 +25,9 @@
       readonly offer?: string;
     }
   | { readonly type: 'join'; readonly identity: string; readonly address: string }
-  /** A voter that is about to stop tells the leader. */
+  /** Notifies the leader that a voter is about to stop. */
   | { readonly type: 'leave'; readonly identity: string }
-  /** A leader's question to an address: which identity lives there now? */
+  /** Requests the identity of the node at an address, to validate a join. */
   | { readonly type: 'identify'; readonly nonce: string }
   | { readonly type: 'identified'; readonly nonce: string; readonly identity: string; readonly address: string }
   | { readonly type: 'preVote'; readonly term: number; readonly lastIndex: number; readonly lastTerm: number }
@@ -45,11 +47,13 @@
       readonly type: 'appendReply';
       readonly term: number;
       readonly matches: boolean;
-      /** The last index that holds, or the furthest that could. */
+      /**
+       * The last index that matches the leader's log; after a failed consistency check, the last one that may match.
+       */
       readonly index: number;
       readonly round: number;
     }
-  /** One piece of an encoded snapshot; `total` and `digest` are of the whole. */
+  /** One piece of an encoded snapshot; `offset` and `total` count characters, `digest` is that of the whole text. */
   | {
       readonly type: 'installSnapshot';
       readonly term: number;
@@ -61,7 +65,7 @@
       readonly piece: string;
       readonly round: number;
     }
-  /** Acknowledges how much of a snapshot is there without a gap, in reply to the piece at `offset`. */
+  /** Acknowledges the piece at `offset`; `received` is the length of the text received so far without a gap. */
   | {
       readonly type: 'installSnapshotReply';
       readonly term: number;
@@ -70,4 +74,5 @@
       readonly received: number;
       readonly round: number;
     }
+  /** Leadership transfer: the receiver starts an election at once. */
   | { readonly type: 'timeoutNow'; readonly term: number };
--- a/src/control/machine/partial-snapshot.ts
+++ b/src/control/machine/partial-snapshot.ts
@@ -2,12 +2,12 @@
 
 type InstallSnapshot = Extract<ControlMessage, { readonly type: 'installSnapshot' }>;
 
-/** The pieces of one snapshot from one leader's term that have arrived without a gap. */
+/** The text received so far, without a gap, of one snapshot from the leader of one term. */
 export type PartialSnapshot = Pick<InstallSnapshot, 'term' | 'snapshotIndex' | 'snapshotTerm' | 'total' | 'digest'> & {
   readonly text: string;
 };
 
-const belongsTo = (partial: PartialSnapshot, message: InstallSnapshot): boolean =>
+const isSameSnapshot = (partial: PartialSnapshot, message: InstallSnapshot): boolean =>
   partial.term === message.term &&
   partial.snapshotIndex === message.snapshotIndex &&
   partial.snapshotTerm === message.snapshotTerm &&
@@ -23,20 +23,20 @@
   text: '',
 });
 
-/** Whether a piece of an older snapshot of the same term came late. */
+/** Whether a piece belongs to an older snapshot of the same term, and was delayed. */
 const isOutdated = (partial: PartialSnapshot | undefined, message: InstallSnapshot): boolean =>
   partial !== undefined && partial.term === message.term && message.snapshotIndex < partial.snapshotIndex;
 
 /**
- * Adds a piece. Pieces of another snapshot or another term start anew and drop what was there; a piece that does not
- * follow on what is there changes nothing.
+ * Appends a piece. A piece of another snapshot or another term discards the text received so far. A duplicate, a piece
+ * of an older snapshot of the same term, and one that leaves a gap or exceeds the total are ignored.
  */
-export const withPiece = (partial: PartialSnapshot | undefined, message: InstallSnapshot): PartialSnapshot => {
+export const appendPiece = (partial: PartialSnapshot | undefined, message: InstallSnapshot): PartialSnapshot => {
   if (partial !== undefined && isOutdated(partial, message)) return partial;
-  const current = partial !== undefined && belongsTo(partial, message) ? partial : emptyPartial(message);
-  const follows = message.offset === current.text.length;
-  const fits = message.offset + message.piece.length <= current.total;
-  return follows && fits ? { ...current, text: current.text + message.piece } : current;
+  const target = partial !== undefined && isSameSnapshot(partial, message) ? partial : emptyPartial(message);
+  const isContiguous = message.offset === target.text.length;
+  const isWithinTotal = message.offset + message.piece.length <= target.total;
+  return isContiguous && isWithinTotal ? { ...target, text: target.text + message.piece } : target;
 };
 
-export const isWhole = (partial: PartialSnapshot): boolean => partial.text.length === partial.total;
+export const isComplete = (partial: PartialSnapshot): boolean => partial.text.length === partial.total;
--- a/src/control/machine/replica.ts
+++ b/src/control/machine/replica.ts
@@ -2,7 +2,7 @@
 import type { Snapshot } from '../log/snapshot.js';
 import type { LogEntry } from '../log/log-entry.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
-import { startReplicatedState } from '../state/replicated-state.js';
+import { emptyReplicatedState } from '../state/replicated-state.js';
 import type { JoinCheck } from '../members/join-check.js';
 import type { EncodedSnapshot } from '../wire/snapshot-text.js';
 import type { PartialSnapshot } from './partial-snapshot.js';
@@ -10,88 +10,99 @@
 import type { Progress } from './progress.js';
 import type { Role } from './role.js';
 
-/** What a machine says of itself before a core is founded. */
+/** What a seed reports about itself in reply to a probe, before a core is bootstrapped. */
 export type SeedProbe = {
   readonly identity: string;
-  /** The members it has bound itself to, if any. */
+  /** The members that it has agreed to bootstrap a core with, if any. */
   readonly offer: string | undefined;
+  /** Whether it is in a core. */
   readonly founded: boolean;
-  /** Whether it may found a core; a machine whose disk came empty later may not. */
+  /** Whether it may bootstrap a core; a node whose disk was emptied later may not. */
   readonly founds: boolean;
-  /** The question that this answered. */
+  /** The nonce of the probe that it replied to. */
   readonly nonce: string;
 };
 
-/** The whole replica of one core machine. */
+/** The state of one control node's Raft replica, persisted and volatile; immutable. */
 export type Replica = {
   readonly identity: string;
   readonly address: string;
   readonly seeds: readonly string[];
-  /** Core machines that are known otherwise; they found nothing, they only show the way. */
+  /** Addresses of control nodes learned by gossip: used to find a core, never as bootstrap members. */
   readonly knownAddresses: readonly string[];
-  /** Whether it may found a core with the other seeds. */
+  /** Whether this node may bootstrap a core with the other seeds. */
   readonly founds: boolean;
-  /** How many voters a leader brings the core to. */
-  readonly votersWanted: number;
-  /** How large the replicated state may become; a leader takes nothing that would pass it. */
+  /** The number of voters up to which a leader promotes learners. */
+  readonly targetVoterCount: number;
+  /** The size limit of the replicated state; a leader refuses commands that would exceed it. */
   readonly stateLimitBytes: number;
+  /** The time of the last event; never goes back. */
   readonly atUs: Micros;
   readonly role: Role;
   readonly term: number;
   readonly votedFor: string | undefined;
   readonly leader: string | undefined;
+  /** The bootstrap members that this node has persisted its agreement to; undefined before. */
   readonly offer: string | undefined;
-  /** The newest probe of each address, while there is no core yet. */
+  /** The last reply of each seed by address, while this node is in no core. */
   readonly probes: ReadonlyMap<string, SeedProbe>;
-  /** The newest question to the other seeds. */
+  /** The nonce of the last probe that was sent to the other seeds. */
   readonly probeNonce: string;
   readonly snapshot: Snapshot;
   readonly entries: readonly LogEntry[];
   readonly commit: number;
   readonly state: ReplicatedState;
-  readonly electionUs: Micros;
-  readonly heartbeatUs: Micros;
+  /** When an election starts unless a leader makes contact before. */
+  readonly electionDeadlineUs: Micros;
+  /** When a leader next sends heartbeats; on other nodes, when probes or join requests are next sent. */
+  readonly nextHeartbeatUs: Micros;
+  /** When a message of the current leader last arrived. */
   readonly leaderContactUs: Micros;
-  readonly leadsSinceUs: Micros;
+  readonly leaderSinceUs: Micros;
   readonly votes: ReadonlySet<string>;
   readonly progress: ReadonlyMap<string, Progress>;
-  /** A leader's snapshot as it is sent, encoded once for all members that need it. */
+  /** On a leader: the snapshot encoded for transfer, shared by all members that need it. */
   readonly encodedSnapshot?: EncodedSnapshot;
-  /** What a follower has of a snapshot that is on its way. */
+  /** On a follower: the pieces received of a snapshot in transfer. */
   readonly partialSnapshot?: PartialSnapshot;
+  /** The round of a leader: increases with each heartbeat, read and `identify` message, which it numbers. */
   readonly round: number;
   readonly reads: readonly PendingRead[];
+  /** The ids of the requests whose entries are not committed yet, by log index. */
   readonly pendingRequests: ReadonlyMap<number, string>;
-  /** Joins that a leader is checking with the address they name, by identity. */
+  /** Joins whose identity a leader is verifying, by identity. */
   readonly joinChecks: ReadonlyMap<string, JoinCheck>;
-  /** Whether this machine was told to stop, and when it tells the leader next. */
+  /** Whether this process is about to stop. */
   readonly isLeaving: boolean;
-  readonly leaveAnnouncedUs: Micros;
-  /** Voters that a leader heard are about to stop, and until when that counts. */
-  readonly leavingUntilUs: ReadonlyMap<string, Micros>;
-  /** Until when a leader tries to hand its leadership over; it takes no commands meanwhile. */
-  readonly transferUntilUs: Micros | undefined;
+  /** When the leader is next notified of it. */
+  readonly nextLeaveNoticeUs: Micros;
+  /** Voters that have announced to stop, by identity, with the expiry of the notice. */
+  readonly leaveNoticeExpiryUs: ReadonlyMap<string, Micros>;
+  /** The deadline of a leadership transfer in progress; the leader refuses commands meanwhile. */
+  readonly transferDeadlineUs: Micros | undefined;
 };
 
-export const usualVoters = 3;
-export const usualStateLimitBytes = 24 << 20;
+export const defaultVoterCount = 3;
+export const defaultStateLimitBytes = 24 << 20;
 
-export const startSnapshot: Snapshot = { index: 0, term: 0, members: [], state: startReplicatedState };
+/** The snapshot of an empty log. */
+export const emptySnapshot: Snapshot = { index: 0, term: 0, members: [], state: emptyReplicatedState };
 
-export const startReplica = (
+/** A replica with an empty log that is in no core; `founds` says whether it may bootstrap one. */
+export const createReplica = (
   identity: string,
   address: string,
   seeds: readonly string[],
   founds = true,
-  votersWanted = usualVoters,
-  stateLimitBytes = usualStateLimitBytes,
+  voterCount = defaultVoterCount,
+  stateLimitBytes = defaultStateLimitBytes,
 ): Replica => ({
   identity,
   address,
   seeds,
   knownAddresses: [],
   founds,
-  votersWanted,
+  targetVoterCount: voterCount,
   stateLimitBytes,
   atUs: 0,
   role: 'unfounded',
@@ -101,14 +112,14 @@
   offer: undefined,
   probes: new Map(),
   probeNonce: '',
-  snapshot: startSnapshot,
+  snapshot: emptySnapshot,
   entries: [],
   commit: 0,
-  state: startReplicatedState,
-  electionUs: 0,
-  heartbeatUs: 0,
+  state: emptyReplicatedState,
+  electionDeadlineUs: 0,
+  nextHeartbeatUs: 0,
   leaderContactUs: Number.NEGATIVE_INFINITY,
-  leadsSinceUs: 0,
+  leaderSinceUs: 0,
   votes: new Set(),
   progress: new Map(),
   round: 0,
@@ -116,7 +127,7 @@
   pendingRequests: new Map(),
   joinChecks: new Map(),
   isLeaving: false,
-  leaveAnnouncedUs: 0,
-  leavingUntilUs: new Map(),
-  transferUntilUs: undefined,
+  nextLeaveNoticeUs: 0,
+  leaveNoticeExpiryUs: new Map(),
+  transferDeadlineUs: undefined,
 });
--- a/src/control/machine/role.ts
+++ b/src/control/machine/role.ts
@@ -1,2 +1,2 @@
-/** What a core machine is at a moment. */
+/** The Raft role of a replica; `unfounded`: in no core yet, `learner`: a member that does not vote. */
 export type Role = 'unfounded' | 'learner' | 'follower' | 'pre-candidate' | 'candidate' | 'leader';
--- a/src/control/machine/roles.ts
+++ b/src/control/machine/roles.ts
@@ -3,61 +3,65 @@
 import type { ControlEffect } from './control-effect.js';
 import { stepOf, type ControlStep } from './control-step.js';
 import type { Replica } from './replica.js';
-import { isVoter, membersOf } from './log-reading.js';
+import { isVoter, membersOf } from './log-queries.js';
 import type { Role } from './role.js';
-import { electionTimeoutUs } from './timing.js';
+import { electionTimeoutUs } from './parameters.js';
 
-export const drawElectionDeadline = (replica: Replica, chance: number): Micros =>
+/** A random deadline, one to two election timeouts from now, so that candidates rarely split the vote. */
+export const randomElectionDeadline = (replica: Replica, chance: number): Micros =>
   replica.atUs + electionTimeoutUs + Math.floor(chance * electionTimeoutUs);
 
-/** The role of a machine that neither leads nor stands for election. */
+/** The role of a replica that neither leads nor takes part in an election as a candidate. */
 export const passiveRoleOf = (replica: Replica): Role => {
   if (membersOf(replica).length === 0) return 'unfounded';
   return isVoter(replica, replica.identity) ? 'follower' : 'learner';
 };
 
-const roleEffects = (former: Replica, replica: Replica): readonly ControlEffect[] =>
-  former.role === replica.role && former.leader === replica.leader
+const roleEffects = (previous: Replica, replica: Replica): readonly ControlEffect[] =>
+  previous.role === replica.role && previous.leader === replica.leader
     ? []
     : [{ type: 'role', role: replica.role, term: replica.term, leader: replica.leader }];
 
-/** Goes to another role; what was asked of a leader that steps down is undecided, its reads begin anew. */
+/**
+ * Changes the role. A leader that steps down drops its volatile state: its pending proposals are undecided, its reads
+ * get the reply `not-leader`, so that they are repeated at another node.
+ */
 export const changeRole = (replica: Replica, change: Partial<Replica>): ControlStep => {
   const changedReplica = { ...replica, ...change };
-  const stepsDown = replica.role === 'leader' && changedReplica.role !== 'leader';
-  const restedReplica: Replica = stepsDown
+  const isSteppingDown = replica.role === 'leader' && changedReplica.role !== 'leader';
+  const newReplica: Replica = isSteppingDown
     ? {
         ...changedReplica,
         pendingRequests: new Map(),
         reads: [],
         progress: new Map(),
         joinChecks: new Map(),
-        leavingUntilUs: new Map(),
-        transferUntilUs: undefined,
+        leaveNoticeExpiryUs: new Map(),
+        transferDeadlineUs: undefined,
         encodedSnapshot: undefined,
       }
     : changedReplica;
   return stepOf(
-    restedReplica,
-    ...(stepsDown
+    newReplica,
+    ...(isSteppingDown
       ? [...replica.pendingRequests.values()].map((requestId): ControlEffect => ({
           type: 'reply',
           requestId,
           reply: { type: 'undecided' },
         }))
       : []),
-    ...(stepsDown
+    ...(isSteppingDown
       ? replica.reads.map((read): ControlEffect => ({
           type: 'reply',
           requestId: read.requestId,
           reply: { type: 'not-leader', leader: undefined },
         }))
       : []),
-    ...roleEffects(replica, restedReplica),
+    ...roleEffects(replica, newReplica),
   );
 };
 
-/** Follows a term, and the leader of it when that is known. */
+/** Follows a leader, if it is known, in a term; a newer term clears the vote and is persisted. */
 export const becomeFollower = (
   replica: Replica,
   term: number,
@@ -70,7 +74,7 @@
     role: passiveRoleOf(replica),
     leader,
     votes: new Set(),
-    electionUs: drawElectionDeadline(replica, chance),
+    electionDeadlineUs: randomElectionDeadline(replica, chance),
   });
   return isNewTerm
     ? {
@@ -80,6 +84,7 @@
     : step;
 };
 
+/** Replaces the log from the index of the first given entry on. */
 export const replaceLogSuffix = (replica: Replica, entries: readonly LogEntry[]): Replica => {
   const firstIndex = entries[0]?.index;
   if (firstIndex === undefined) return replica;
--- a/src/control/machine/snapshot-transfer.ts
+++ b/src/control/machine/snapshot-transfer.ts
@@ -1,13 +1,13 @@
 import { withEntry } from '../../common/maps.js';
 import { encodeSnapshotText, type EncodedSnapshot } from '../wire/snapshot-text.js';
 import { stepOf, type ControlStep } from './control-step.js';
-import { isPaused, withContact, withProgressMade, withSend } from './flow-control.js';
+import { isPaused, recordContact, recordProgress, recordSend } from './flow-control.js';
 import type { ControlMessage } from './message.js';
 import type { Progress, SnapshotTransfer } from './progress.js';
 import type { Replica } from './replica.js';
-import { snapshotPieceChars, stalledTransferUs } from './timing.js';
+import { maxSnapshotPieceChars, transferStallTimeoutUs } from './parameters.js';
 
-/** The leader's side of a snapshot transfer: pieces, their acknowledgements and what is kept for them. */
+/** The leader's side of a snapshot transfer (Raft InstallSnapshot, in pieces): sends, acknowledgements, clean-up. */
 
 type InstallSnapshotReply = Extract<ControlMessage, { readonly type: 'installSnapshotReply' }>;
 
@@ -21,15 +21,15 @@
     : encodeSnapshotText(snapshot);
 };
 
-/** Sends the piece at the acknowledged offset, unless one is under way; a newer snapshot starts at its beginning. */
+/** Sends the piece at the acknowledged offset, unless one is in flight; a newer snapshot starts at offset 0. */
 export const sendSnapshotPiece = (replica: Replica, identity: string, progress: Progress): ControlStep => {
-  const isOfThisSnapshot = progress.transfer?.index === replica.snapshot.index;
-  if (isOfThisSnapshot && isPaused(progress, replica.atUs)) return stepOf(replica);
+  const isCurrentSnapshot = progress.transfer?.index === replica.snapshot.index;
+  if (isCurrentSnapshot && isPaused(progress, replica.atUs)) return stepOf(replica);
   const encodedSnapshot = encodedSnapshotOf(replica);
-  const offset = isOfThisSnapshot ? (progress.transfer?.offset ?? 0) : 0;
-  const movedUs = isOfThisSnapshot ? (progress.transfer?.movedUs ?? replica.atUs) : replica.atUs;
-  const transfer: SnapshotTransfer = { index: encodedSnapshot.index, offset, movedUs };
-  const sentProgress = { ...withSend(progress, replica.atUs), transfer };
+  const offset = isCurrentSnapshot ? (progress.transfer?.offset ?? 0) : 0;
+  const progressUs = isCurrentSnapshot ? (progress.transfer?.lastProgressUs ?? replica.atUs) : replica.atUs;
+  const transfer: SnapshotTransfer = { index: encodedSnapshot.index, offset, lastProgressUs: progressUs };
+  const sentProgress = { ...recordSend(progress, replica.atUs), transfer };
   return stepOf(
     { ...replica, encodedSnapshot, progress: withEntry(replica.progress, identity, sentProgress) },
     {
@@ -43,7 +43,7 @@
         offset,
         total: encodedSnapshot.text.length,
         digest: encodedSnapshot.digest,
-        piece: encodedSnapshot.text.slice(offset, offset + snapshotPieceChars),
+        piece: encodedSnapshot.text.slice(offset, offset + maxSnapshotPieceChars),
         round: replica.round,
       },
     },
@@ -51,54 +51,62 @@
 };
 
 /**
- * Where the transfer stands after an acknowledgement. Late acknowledgements only move it on; the one that answers the
- * piece under way may also move it back, as after the member's restart, and then the timeout goes on as it was.
+ * The progress after an acknowledgement. A delayed acknowledgement only moves the offset forward; that of the piece in
+ * flight may also move it back, as after a restart of the member, and does not reset the retransmission timeout then.
  */
 const acknowledged = (progress: Progress, transfer: SnapshotTransfer, message: InstallSnapshotReply): Progress => {
   if (message.received > transfer.offset)
-    return withProgressMade({
+    return recordProgress({
       ...progress,
-      transfer: { ...transfer, offset: message.received, movedUs: progress.heardUs },
+      transfer: { ...transfer, offset: message.received, lastProgressUs: progress.lastContactUs },
     });
   if (message.offset === transfer.offset && message.received < transfer.offset)
     return { ...progress, transfer: { ...transfer, offset: message.received } };
   return progress;
 };
 
-/** Takes the acknowledgement of a piece into account; the caller sends the next one. */
-export const withPieceReply = (replica: Replica, from: string, message: InstallSnapshotReply): Replica => {
+/** Records the acknowledgement of a piece; the caller sends the next one. Returns the same replica if it is stale. */
+export const recordPieceReply = (replica: Replica, from: string, message: InstallSnapshotReply): Replica => {
   const progress = replica.progress.get(from);
   if (replica.role !== 'leader' || progress === undefined || message.term !== replica.term) return replica;
-  const contacted = withContact(progress, message.round, replica.atUs);
-  const { transfer } = contacted;
-  const isOfTransfer = transfer?.index === message.snapshotIndex;
+  const afterContact = recordContact(progress, message.round, replica.atUs);
+  const { transfer } = afterContact;
+  const isCurrentTransfer = transfer?.index === message.snapshotIndex;
   const isWithinSnapshot = message.received < (replica.encodedSnapshot?.text.length ?? 0);
-  const moved =
-    transfer !== undefined && isOfTransfer && isWithinSnapshot ? acknowledged(contacted, transfer, message) : contacted;
-  return { ...replica, progress: withEntry(replica.progress, from, moved) };
+  const updated =
+    transfer !== undefined && isCurrentTransfer && isWithinSnapshot
+      ? acknowledged(afterContact, transfer, message)
+      : afterContact;
+  return { ...replica, progress: withEntry(replica.progress, from, updated) };
 };
 
-/** Notes progress by entries behind a snapshot, so that compaction stays held back until the member has caught up. */
-export const withTransferMoved = (progress: Progress, nowUs: number): Progress =>
-  progress.transfer === undefined ? progress : { ...progress, transfer: { ...progress.transfer, movedUs: nowUs } };
+/**
+ * Records progress with the entries after a snapshot, so that compaction is deferred until the member has caught up.
+ */
+export const recordTransferProgress = (progress: Progress, nowUs: number): Progress =>
+  progress.transfer === undefined
+    ? progress
+    : { ...progress, transfer: { ...progress.transfer, lastProgressUs: nowUs } };
 
-/** Forgets the transfer of a member that has caught up, and the encoded snapshot once nobody needs it. */
-export const withFinishedTransfer = (replica: Replica, identity: string): Replica => {
+/** Drops the transfer of a member that has caught up, and the encoded snapshot once no member needs it. */
+export const clearFinishedTransfer = (replica: Replica, identity: string): Replica => {
   const progress = replica.progress.get(identity);
   if (progress?.transfer === undefined || needsSnapshot(replica, progress)) return replica;
   const hasCaughtUp = progress.match >= replica.commit;
-  const progressAfter = hasCaughtUp
+  const remaining = hasCaughtUp
     ? withEntry(replica.progress, identity, { ...progress, transfer: undefined })
     : replica.progress;
-  const isInUse = [...progressAfter.values()].some((one) => one.transfer !== undefined && needsSnapshot(replica, one));
-  return { ...replica, progress: progressAfter, encodedSnapshot: isInUse ? replica.encodedSnapshot : undefined };
+  const isInUse = [...remaining.values()].some(
+    (member) => member.transfer !== undefined && needsSnapshot(replica, member),
+  );
+  return { ...replica, progress: remaining, encodedSnapshot: isInUse ? replica.encodedSnapshot : undefined };
 };
 
 /**
- * Whether compaction would overtake a member that is catching up: it would have to start again with a newer snapshot.
- * A transfer that has stalled holds nothing back.
+ * Whether compaction is deferred for a member that is catching up, since it would have to start again with a newer
+ * snapshot. A stalled transfer does not defer it.
  */
-export const holdsBackCompaction = (replica: Replica): boolean =>
+export const isCompactionDeferred = (replica: Replica): boolean =>
   [...replica.progress.values()].some(
-    ({ transfer }) => transfer !== undefined && replica.atUs - transfer.movedUs < stalledTransferUs,
+    ({ transfer }) => transfer !== undefined && replica.atUs - transfer.lastProgressUs < transferStallTimeoutUs,
   );
--- a/src/control/machine/step.ts
+++ b/src/control/machine/step.ts
@@ -11,34 +11,35 @@
   startElection,
 } from './elections.js';
 import { onAppend, onInstallSnapshot } from './follower.js';
-import { checkedStep } from './invariants.js';
-import { isOfRefusedCore, onProbe, findLeader, tryBootstrap } from './bootstrap.js';
+import { checkStepInvariants } from './invariants.js';
+import { isFromRejectedCore, onProbe, broadcastJoin, tryBootstrap } from './bootstrap.js';
 import { onAppendReply, onInstallSnapshotReply, onLeaderTick, onRead } from './leader.js';
 import { onIdentified, onIdentify, onJoin } from './joins.js';
 import { announceLeave, onLeave } from './leave.js';
-import { isVoter } from './log-reading.js';
+import { isVoter } from './log-queries.js';
 import type { ControlMessage } from './message.js';
 import { appendCommand } from './replication.js';
 import { becomeFollower } from './roles.js';
-import { fitsStateLimit } from './state-limit.js';
+import { isWithinStateLimit } from './state-limit.js';
 import { onResign } from './transfer.js';
-import { rejoinTimeoutUs } from './timing.js';
+import { rejoinTimeoutUs } from './parameters.js';
 
 type Claim = Extract<Command, { readonly type: 'claim' }>;
 
 const onTick = (replica: Replica, chance: number): ControlStep => {
   if (replica.role === 'leader') return onLeaderTick(replica, chance);
   if (replica.role === 'unfounded')
-    return replica.atUs >= replica.heartbeatUs ? tryBootstrap(replica, chance) : stepOf(replica);
-  const isLost = replica.atUs > replica.leaderContactUs + rejoinTimeoutUs && replica.atUs >= replica.heartbeatUs;
-  const soughtStep = isLost ? findLeader(replica) : stepOf(replica);
-  const announcedStep = andThen(soughtStep, announceLeave);
-  return replica.atUs >= replica.electionUs
-    ? andThen(announcedStep, (announcedReplica) => startPreVote(announcedReplica, chance))
-    : announcedStep;
+    return replica.atUs >= replica.nextHeartbeatUs ? tryBootstrap(replica, chance) : stepOf(replica);
+  const hasLostLeader =
+    replica.atUs > replica.leaderContactUs + rejoinTimeoutUs && replica.atUs >= replica.nextHeartbeatUs;
+  const joinStep = hasLostLeader ? broadcastJoin(replica) : stepOf(replica);
+  const leaveStep = andThen(joinStep, announceLeave);
+  return replica.atUs >= replica.electionDeadlineUs
+    ? andThen(leaveStep, (afterNotice) => startPreVote(afterNotice, chance))
+    : leaveStep;
 };
 
-const carriesTerm = (message: ControlMessage): message is Extract<ControlMessage, { readonly term: number }> =>
+const hasTerm = (message: ControlMessage): message is Extract<ControlMessage, { readonly term: number }> =>
   'term' in message;
 
 const onMessage = (replica: Replica, from: string, message: ControlMessage, chance: number): ControlStep => {
@@ -63,7 +64,7 @@
     case 'voteReply':
       return onVoteReply(replica, from, message);
     case 'append':
-      return isOfRefusedCore(replica, from, message.commit)
+      return isFromRejectedCore(replica, from, message.commit)
         ? stepOf(replica)
         : onAppend(replica, from, message, chance);
     case 'appendReply':
@@ -79,62 +80,63 @@
   }
 };
 
-const onTermed = (replica: Replica, from: string, message: ControlMessage, chance: number): ControlStep => {
-  const isAhead =
-    carriesTerm(message) &&
-    message.type !== 'preVote' &&
-    message.type !== 'preVoteReply' &&
-    message.term > replica.term;
-  return isAhead && carriesTerm(message)
-    ? andThen(becomeFollower(replica, message.term, undefined, chance), (followedReplica) =>
-        onMessage(followedReplica, from, message, chance),
+const onMessageInTerm = (replica: Replica, from: string, message: ControlMessage, chance: number): ControlStep => {
+  const hasNewerTerm =
+    hasTerm(message) && message.type !== 'preVote' && message.type !== 'preVoteReply' && message.term > replica.term;
+  return hasNewerTerm && hasTerm(message)
+    ? andThen(becomeFollower(replica, message.term, undefined, chance), (afterTermChange) =>
+        onMessage(afterTermChange, from, message, chance),
       )
     : onMessage(replica, from, message, chance);
 };
 
-/** A claim that finds no room: the holder's bucket is cleaned by a release that names no exchange. */
+/**
+ * Refuses a claim at the size limit, and appends a release that names no exchange: it drops the bucket's expired
+ * claims.
+ */
 const refuseClaim = (replica: Replica, command: Claim, requestId: string): ControlStep =>
   andThen(
     stepOf(replica, { type: 'reply', requestId, reply: { type: 'applied', outcome: { type: 'claims-full' } } }),
-    (refusedReplica) => appendCommand(refusedReplica, { ...command, type: 'release', exchange: '' }, undefined),
+    (afterReply) => appendCommand(afterReply, { ...command, type: 'release', exchange: '' }, undefined),
   );
 
 /**
- * A leader takes a command into its log, unless it is handing its leadership over or the state would then be larger than
- * a ring file holds. Any other machine names the leader it follows.
+ * A leader appends a command to its log, unless it is transferring its leadership or the state would exceed its size
+ * limit. Any other replica replies with the leader that it follows.
  */
 const onPropose = (replica: Replica, command: Command, requestId: string): ControlStep => {
-  if (replica.role !== 'leader' || replica.transferUntilUs !== undefined) {
+  if (replica.role !== 'leader' || replica.transferDeadlineUs !== undefined) {
     const leader = replica.role === 'leader' ? undefined : replica.leader;
     return stepOf(replica, { type: 'reply', requestId, reply: { type: 'not-leader', leader } });
   }
-  if (fitsStateLimit(replica, command)) return appendCommand(replica, command, requestId);
+  if (isWithinStateLimit(replica, command)) return appendCommand(replica, command, requestId);
   return command.type === 'claim'
     ? refuseClaim(replica, command, requestId)
     : stepOf(replica, { type: 'reply', requestId, reply: { type: 'state-full' } });
 };
 
 const dispatch = (replica: Replica, event: ControlEvent): ControlStep => {
-  const nowReplica: Replica = { ...replica, atUs: Math.max(replica.atUs, event.at) };
+  const updatedReplica: Replica = { ...replica, atUs: Math.max(replica.atUs, event.at) };
   switch (event.type) {
     case 'tick':
-      return onTick(nowReplica, event.chance);
+      return onTick(updatedReplica, event.chance);
     case 'message':
-      return onTermed(nowReplica, event.from, event.message, event.chance);
+      return onMessageInTerm(updatedReplica, event.from, event.message, event.chance);
     case 'propose':
-      return onPropose(nowReplica, event.command, event.requestId);
+      return onPropose(updatedReplica, event.command, event.requestId);
     case 'read':
-      return onRead(nowReplica, event.requestId, event.proposal);
+      return onRead(updatedReplica, event.requestId, event.proposal);
     case 'known':
-      return stepOf({ ...nowReplica, knownAddresses: [...new Set([...event.seeds, ...event.addresses])] });
+      return stepOf({ ...updatedReplica, knownAddresses: [...new Set([...event.seeds, ...event.addresses])] });
     case 'resign':
-      return andThen(onResign({ ...nowReplica, isLeaving: true }, event.chance), announceLeave);
+      return andThen(onResign({ ...updatedReplica, isLeaving: true }, event.chance), announceLeave);
   }
 };
 
 /**
- * One replica: an event in, a new replica and effects out; no clock, no chance, no I/O of its own. It throws where the
- * step would break a rule of the replicated log.
+ * The step function of the control state machine: a replica and an event give the next replica and the effects to
+ * execute. It is pure: time and random numbers come with the event. It throws if the step would violate a Raft
+ * invariant.
  */
 export const stepControl = (replica: Replica, event: ControlEvent): ControlStep =>
-  checkedStep(replica, dispatch(replica, event));
+  checkStepInvariants(replica, dispatch(replica, event));
--- a/src/control/members/join-check.ts
+++ b/src/control/members/join-check.ts
@@ -1,12 +1,13 @@
 import type { Micros } from '../../common/micros.js';
 
-/** A join that waits until the address it names has said, to this leader, which identity lives there. */
+/** A join request that waits until the node at its address has confirmed its identity to this leader. */
 export type JoinCheck = {
   readonly identity: string;
   readonly address: string;
   readonly sinceUs: Micros;
-  /** Names the newest question; an answer to an older one does not count. */
+  /** The nonce of the last `identify` message; a reply with an earlier nonce is ignored. */
   readonly nonce: string;
   readonly askedUs: Micros;
+  /** When the identity was confirmed, if the membership change has to wait for another change. */
   readonly confirmedUs: Micros | undefined;
 };
--- a/src/control/persistence/recovery.ts
+++ b/src/control/persistence/recovery.ts
@@ -4,11 +4,14 @@
 import { compactLog } from '../machine/commit.js';
 import { passiveRoleOf, replaceLogSuffix } from '../machine/roles.js';
 
-/** A file that was turned within a batch begins with a snapshot that may hold entries of the records after it. */
-const entriesBehindSnapshot = (replica: Replica, entries: readonly LogEntry[]): readonly LogEntry[] =>
+/**
+ * Drops the entries that the snapshot contains: a ring file that was started within a batch begins with a snapshot that
+ * may include entries of the records after it.
+ */
+const entriesAfterSnapshot = (replica: Replica, entries: readonly LogEntry[]): readonly LogEntry[] =>
   entries.filter((entry) => entry.index > replica.snapshot.index);
 
-/** A replica with one more kept record folded in. */
+/** Applies one persisted record to a replica. */
 export const replayRecord = (replica: Replica, record: DurableRecord): Replica => {
   switch (record.type) {
     case 'identity':
@@ -18,7 +21,7 @@
     case 'vote':
       return { ...replica, term: record.term, votedFor: record.votedFor };
     case 'entries':
-      return replaceLogSuffix(replica, entriesBehindSnapshot(replica, record.entries));
+      return replaceLogSuffix(replica, entriesAfterSnapshot(replica, record.entries));
     case 'snapshot':
       return {
         ...replica,
@@ -30,13 +33,13 @@
   }
 };
 
-/** The replica that a disk gives back. What was committed shows again once a leader says so. */
-export const recoverReplica = (start: Replica, records: readonly DurableRecord[]): Replica => {
-  const replica = records.reduce(replayRecord, start);
+/** The replica recovered from the records of a disk. The commit index is not persisted: a leader sends it again. */
+export const recoverReplica = (initial: Replica, records: readonly DurableRecord[]): Replica => {
+  const replica = records.reduce(replayRecord, initial);
   return { ...replica, role: passiveRoleOf(replica) };
 };
 
-/** All that must be kept of a replica, for the head of a new file: what is committed is folded first. */
+/** The records that a new ring file starts with: everything that a replica must persist, its log compacted first. */
 export const snapshotRecordsOf = (replica: Replica): readonly DurableRecord[] => {
   const { snapshot, entries } = compactLog(replica);
   return [
--- a/src/control/state/apply.ts
+++ b/src/control/state/apply.ts
@@ -1,19 +1,19 @@
 import type { Micros } from '../../common/micros.js';
 import type { Command } from '../log/command.js';
-import type { Applied } from './applied.js';
+import type { ApplyResult } from './apply-result.js';
 import { applyClaim, applyRelease } from './claims.js';
-import { applyCancel, applySetup } from './configuration-orders.js';
+import { applyCancel, applySetup } from './setup-proposals.js';
 import type { ReplicatedState } from './replicated-state.js';
 import { applyRestore } from './restore.js';
 
-/** The replicated clock never goes back, whichever machine's clock a command carries. */
+/** Advances the replicated clock. It never goes back, whichever node's clock a command was stamped with. */
 const advanceClock = (state: ReplicatedState, atUs: Micros): ReplicatedState => ({
   ...state,
   clockUs: Math.max(state.clockUs, atUs),
 });
 
-/** Applies one command. It depends on nothing but the state and the command, so all core machines agree. */
-export const applyCommand = (state: ReplicatedState, command: Command): Applied => {
+/** Applies one command. The result depends on the state and the command only, so all replicas agree. */
+export const applyCommand = (state: ReplicatedState, command: Command): ApplyResult => {
   switch (command.type) {
     case 'start-term':
     case 'members':
--- a/src/control/state/outcome.ts
+++ b/src/control/state/command-outcome.ts
@@ -1,7 +1,7 @@
 import type { ProposalOutcome } from './proposal-outcome.js';
 
-/** What applying an entry came to. */
-export type Outcome =
+/** The outcome of an applied command. `claims-full`: refused at the limit of claims. */
+export type CommandOutcome =
   | { readonly type: 'done' }
   | { readonly type: 'claimed'; readonly won: boolean; readonly holder: string }
   | { readonly type: 'claims-full' }
--- a/src/control/state/proposal-outcome.ts
+++ b/src/control/state/proposal-outcome.ts
@@ -1,9 +1,9 @@
-/** What became of a proposed configuration, as a committed entry of the log decided it. */
+/** The outcome of a proposed setup, decided by the order of the committed entries. */
 export type ProposalOutcome =
   | { readonly type: 'committed'; readonly revision: number }
-  /** Another configuration was current; `revision` is the current one. */
+  /** The current setup was not the expected one; `revision` is that of the current setup. */
   | { readonly type: 'conflict'; readonly revision: number }
-  /** Withdrawn before it was decided; it can never be committed. */
+  /** Withdrawn by the operator before it was decided; it can never be committed. */
   | { readonly type: 'cancelled'; readonly revision: number }
-  /** It may have been committed so long ago that the history no longer holds it; nothing definite can be said. */
+  /** The outcome may have been evicted from the history: the proposal may or may not have been committed. */
   | { readonly type: 'forgotten'; readonly revision: number };
--- a/src/control/state/replicated-state.ts
+++ b/src/control/state/replicated-state.ts
@@ -3,28 +3,33 @@
 import type { Claim } from './claim.js';
 import { emptyDocumentHistory, type DocumentHistory } from './document-history.js';
 import { emptyProposalHistory, type ProposalHistory } from './proposal-history.js';
-import { emptyRefusedOrders, type RefusedOrders } from './refused-orders.js';
+import { emptyRefusedProposals, type RefusedProposals } from './refused-proposals.js';
 
-/** What the log folds into; the same on every core machine at the same index. */
+/** The state that results from the committed entries; the same on every replica at the same index. */
 export type ReplicatedState = {
+  /** The latest time stamp of a committed command. */
   readonly clockUs: Micros;
+  /** The current setup with its revision. */
   readonly record: SetupRecord | undefined;
-  /** Operators' own documents, decided by their versions. */
+  /** The operators' own documents that were committed, decided by their versions. */
   readonly documents: DocumentHistory;
-  /** Proposals with ids of their own, decided by the revision they build on, and cancelled proposals of either kind. */
+  /**
+   * The outcomes of proposals without a document, decided by their expected revision, and cancelled proposals of either
+   * kind.
+   */
   readonly proposals: ProposalHistory;
-  readonly refusedOrders: RefusedOrders;
-  /** Claims in buckets, so that one claim copies one bucket only. */
+  readonly refusedOrders: RefusedProposals;
+  /** Claims by key, in hash buckets, so that a new claim copies one bucket only. */
   readonly buckets: ReadonlyMap<number, ReadonlyMap<string, Claim>>;
   readonly claimCount: number;
 };
 
-export const startReplicatedState: ReplicatedState = {
+export const emptyReplicatedState: ReplicatedState = {
   clockUs: 0,
   record: undefined,
   documents: emptyDocumentHistory,
   proposals: emptyProposalHistory,
-  refusedOrders: emptyRefusedOrders,
+  refusedOrders: emptyRefusedProposals,
   buckets: new Map(),
   claimCount: 0,
 };
--- a/src/control/state/restore.ts
+++ b/src/control/state/restore.ts
@@ -1,24 +1,25 @@
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 import type { Command } from '../log/command.js';
-import type { Applied } from './applied.js';
+import type { ApplyResult } from './apply-result.js';
 import { digestOfText, rememberDocument, type DocumentHistory } from './document-history.js';
 import type { ReplicatedState } from './replicated-state.js';
 
-/** Remembers the document of a record, if it was made of one. */
+/** Adds the document of a record to the history, if it has one. */
 const withDocumentOf = (documents: DocumentHistory, { original, revision }: SetupRecord): DocumentHistory =>
   original === undefined
     ? documents
     : rememberDocument(documents, original.version, { digest: digestOfText(original.text), revision });
 
 /**
- * A core that has lost everything takes up what nodes hold. What operators have committed since is newer in time, so it
- * stays, and goes on above what nodes hold, or they would never take it. The documents of the lost core are forgotten but
- * for the one that nodes hold: versions up to that one get no false conflict.
+ * Restores the setup that nodes of the fleet hold, after a core has lost all its disks. A setup that operators have
+ * committed since is newer and stays current, with a revision above the restored one, as the nodes would ignore it
+ * otherwise. Of the lost core's documents only the restored one is known: older versions get the outcome `forgotten`,
+ * not a false conflict.
  */
 export const applyRestore = (
   state: ReplicatedState,
   { record }: Extract<Command, { readonly type: 'restore' }>,
-): Applied => {
+): ApplyResult => {
   const own = state.record;
   if (own !== undefined && own.revision >= record.revision) return { state, outcome: { type: 'done' } };
   const restored = own === undefined ? record : { ...own, revision: record.revision + 1 };
--- a/src/control/state/state-digest.ts
+++ b/src/control/state/state-digest.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { encodeOrderHistory } from '../wire/order-history-codec.js';
+import { encodeOutcomeHistory } from '../wire/outcome-history-codec.js';
 import type { ReplicatedState } from './replicated-state.js';
 
 const digests = new WeakMap<ReplicatedState, string>();
@@ -16,7 +16,7 @@
     state.record?.takenAtUs,
     state.record?.setup.name,
     state.record?.original?.version,
-    encodeOrderHistory(state),
+    encodeOutcomeHistory(state),
     sortedEntries(state.buckets).flatMap(([bucket, claims]) =>
       claims.size === 0 ? [] : [[bucket, sortedEntries(claims)]],
     ),
@@ -24,12 +24,12 @@
   ]);
 
 /**
- * A short text that is equal where two replicated states are; it is drawn once for each state. A bucket whose claims have
- * all gone says the same as one that never was: a snapshot does not hold it.
+ * A SHA-256 digest of a replicated state, equal for equal states; computed once per state. An empty bucket counts as a
+ * missing one, since a snapshot does not contain it.
  */
 export const stateDigestOf = (state: ReplicatedState): string => {
-  const known = digests.get(state);
-  if (known !== undefined) return known;
+  const cached = digests.get(state);
+  if (cached !== undefined) return cached;
   const digest = createHash('sha256').update(textOf(state)).digest('hex');
   digests.set(state, digest);
   return digest;
--- a/src/control/state/warmup-epochs.ts
+++ b/src/control/state/warmup-epochs.ts
@@ -3,18 +3,18 @@
 import type { WarmupEpoch } from '../../setup/document/warmup-epoch.js';
 
 const maxEpochs = 256;
-/** No booking is longer; figures that were replaced so long ago price nothing any more. */
-const longestBookingUs: Micros = 3_600_000_000;
+/** No booking is longer, so warm-up figures that were replaced earlier than this are not needed any more. */
+const maxBookingUs: Micros = 3_600_000_000;
 
-/** The warm-up figures over time after a new configuration: unchanged figures begin no new epoch. */
-export const epochsAfter = (former: SetupRecord | undefined, epoch: WarmupEpoch): readonly WarmupEpoch[] => {
-  const formerEpochs = former?.epochs ?? [];
-  const newestEpoch = formerEpochs[formerEpochs.length - 1];
+/** The history of warm-up figures after a new setup. Unchanged figures start no new epoch. */
+export const warmupEpochsAfter = (previous: SetupRecord | undefined, epoch: WarmupEpoch): readonly WarmupEpoch[] => {
+  const previousEpochs = previous?.epochs ?? [];
+  const newestEpoch = previousEpochs[previousEpochs.length - 1];
   return newestEpoch !== undefined && JSON.stringify(newestEpoch.warmup) === JSON.stringify(epoch.warmup)
-    ? formerEpochs
+    ? previousEpochs
     : [
-        ...formerEpochs.filter(
-          (_, place) => (formerEpochs[place + 1] ?? epoch).sinceUs > epoch.sinceUs - longestBookingUs,
+        ...previousEpochs.filter(
+          (_, index) => (previousEpochs[index + 1] ?? epoch).sinceUs > epoch.sinceUs - maxBookingUs,
         ),
         epoch,
       ].slice(-maxEpochs);
--- a/src/control/wire/command-guard.ts
+++ b/src/control/wire/command-guard.ts
@@ -3,7 +3,7 @@
 import { isOriginal, isSetup, isSetupRecord } from '../../setup/check/setup-guard.js';
 import type { Command } from '../log/command.js';
 
-const whole = () => number().required().integer();
+const integer = () => number().required().integer();
 
 export const memberSchema = object({
   identity: string().required(),
@@ -17,14 +17,14 @@
   setup: object({
     type: typed('setup'),
     proposal: string().required(),
-    expected: whole(),
+    expected: integer(),
     setup: mixed(isSetup).required(),
     original: mixed(isOriginal).optional(),
-    atUs: whole(),
+    atUs: integer(),
   }),
   void: object({ type: typed('void'), proposal: string().required() }),
   restore: object({ type: typed('restore'), record: mixed(isSetupRecord).required() }),
-  claim: object({ type: typed('claim'), key: string().required(), exchange: string().required(), atUs: whole() }),
-  /** A release that names no exchange removes what has expired in the bucket of its key. */
-  release: object({ type: typed('release'), key: string().required(), exchange: string().defined(), atUs: whole() }),
+  claim: object({ type: typed('claim'), key: string().required(), exchange: string().required(), atUs: integer() }),
+  /** `exchange` may be empty: such a release only drops the expired claims in the bucket of its key. */
+  release: object({ type: typed('release'), key: string().required(), exchange: string().defined(), atUs: integer() }),
 });
--- a/src/control/wire/durable-record-codec.ts
+++ b/src/control/wire/durable-record-codec.ts
@@ -8,9 +8,9 @@
 import { entriesSchema } from './entry-schema.js';
 import { decodeSnapshot, encodeSnapshot, snapshotSchema, type PlainSnapshot } from './snapshot-codec.js';
 
-type KeptSnapshot = Extract<DurableRecord, { readonly type: 'snapshot' }>;
+type SnapshotRecord = Extract<DurableRecord, { readonly type: 'snapshot' }>;
 type PlainRecord =
-  Exclude<DurableRecord, KeptSnapshot> | { readonly type: 'snapshot'; readonly snapshot: PlainSnapshot };
+  Exclude<DurableRecord, SnapshotRecord> | { readonly type: 'snapshot'; readonly snapshot: PlainSnapshot };
 
 const isPlainRecord = unionGuard<PlainRecord>({
   identity: object({ type: typed('identity'), identity: string().required(), founds: boolean().optional() }),
@@ -33,11 +33,11 @@
     ),
   });
 
-/** Reads a batch of kept records; one that does not hold is damage. */
+/** Decodes a batch of persisted records; a batch that can't be parsed or validated is a `damaged-disk` error. */
 export const decodeDurableRecords = (bytes: Uint8Array): Either<TypedError, readonly DurableRecord[]> => {
   try {
     return checked(batchSchema, deserialize(bytes))
-      .mapLeft((faults) => typedError('damaged-disk', 'a kept record is not of a known form', faults))
+      .mapLeft((faults) => typedError('damaged-disk', 'a persisted record does not match its schema', faults))
       .map(({ records }) =>
         records.map((record) =>
           record.type === 'snapshot' ? { type: 'snapshot', snapshot: decodeSnapshot(record.snapshot) } : record,
@@ -50,7 +50,7 @@
 
 export const decodeDurableBatches = (batches: readonly Uint8Array[]): Either<TypedError, readonly DurableRecord[]> =>
   batches.reduce<Either<TypedError, readonly DurableRecord[]>>(
-    (readSoFar, batch) =>
-      readSoFar.chain((records) => decodeDurableRecords(batch).map((more) => [...records, ...more])),
+    (decoded, batch) =>
+      decoded.chain((records) => decodeDurableRecords(batch).map((batchRecords) => [...records, ...batchRecords])),
     Right([]),
   );
--- a/src/control/wire/message-codec.ts
+++ b/src/control/wire/message-codec.ts
@@ -1,19 +1,20 @@
 import { boolean, number, object, string } from 'yup';
 import { typed, unionGuard } from '../../common/union.js';
 import type { ControlMessage } from '../machine/message.js';
-import { snapshotPieceChars } from '../machine/timing.js';
+import { maxSnapshotPieceChars } from '../machine/parameters.js';
 import { entriesSchema } from './entry-schema.js';
 import { maxSnapshotChars } from './snapshot-text.js';
 
-/** A control message as it travels; all of its fields are plain. */
+/** A control message as it is sent; it needs no encoding, since all its fields are plain values. */
 export type PlainMessage = ControlMessage;
 
-const digestForm = /^[0-9a-f]{64}$/;
+const digestPattern = /^[0-9a-f]{64}$/;
 
-const whole = () => number().required().integer().min(0);
+const nonNegativeInteger = () => number().required().integer().min(0);
 const name = () => string().required();
 const offer = () => string().optional();
 
+/** Validates a received control message, with the size limits of snapshot pieces. */
 export const isPlainMessage = unionGuard<PlainMessage>({
   probe: object({
     type: typed('probe'),
@@ -37,44 +38,59 @@
   leave: object({ type: typed('leave'), identity: name() }),
   identify: object({ type: typed('identify'), nonce: name() }),
   identified: object({ type: typed('identified'), nonce: name(), identity: name(), address: name() }),
-  preVote: object({ type: typed('preVote'), term: whole(), lastIndex: whole(), lastTerm: whole() }),
-  preVoteReply: object({ type: typed('preVoteReply'), term: whole(), granted: boolean().required(), forTerm: whole() }),
-  vote: object({ type: typed('vote'), term: whole(), lastIndex: whole(), lastTerm: whole() }),
-  voteReply: object({ type: typed('voteReply'), term: whole(), granted: boolean().required() }),
+  preVote: object({
+    type: typed('preVote'),
+    term: nonNegativeInteger(),
+    lastIndex: nonNegativeInteger(),
+    lastTerm: nonNegativeInteger(),
+  }),
+  preVoteReply: object({
+    type: typed('preVoteReply'),
+    term: nonNegativeInteger(),
+    granted: boolean().required(),
+    forTerm: nonNegativeInteger(),
+  }),
+  vote: object({
+    type: typed('vote'),
+    term: nonNegativeInteger(),
+    lastIndex: nonNegativeInteger(),
+    lastTerm: nonNegativeInteger(),
+  }),
+  voteReply: object({ type: typed('voteReply'), term: nonNegativeInteger(), granted: boolean().required() }),
   append: object({
     type: typed('append'),
-    term: whole(),
-    previousIndex: whole(),
-    previousTerm: whole(),
+    term: nonNegativeInteger(),
+    previousIndex: nonNegativeInteger(),
+    previousTerm: nonNegativeInteger(),
     entries: entriesSchema,
-    commit: whole(),
-    round: whole(),
+    commit: nonNegativeInteger(),
+    round: nonNegativeInteger(),
   }),
   appendReply: object({
     type: typed('appendReply'),
-    term: whole(),
+    term: nonNegativeInteger(),
     matches: boolean().required(),
     index: number().required().integer(),
-    round: whole(),
+    round: nonNegativeInteger(),
   }),
   installSnapshot: object({
     type: typed('installSnapshot'),
-    term: whole(),
-    snapshotIndex: whole(),
-    snapshotTerm: whole(),
-    offset: whole(),
-    total: whole().min(1).max(maxSnapshotChars),
-    digest: string().required().matches(digestForm),
-    piece: string().required().min(1).max(snapshotPieceChars),
-    round: whole(),
+    term: nonNegativeInteger(),
+    snapshotIndex: nonNegativeInteger(),
+    snapshotTerm: nonNegativeInteger(),
+    offset: nonNegativeInteger(),
+    total: nonNegativeInteger().min(1).max(maxSnapshotChars),
+    digest: string().required().matches(digestPattern),
+    piece: string().required().min(1).max(maxSnapshotPieceChars),
+    round: nonNegativeInteger(),
   }),
   installSnapshotReply: object({
     type: typed('installSnapshotReply'),
-    term: whole(),
-    snapshotIndex: whole(),
-    offset: whole(),
-    received: whole().max(maxSnapshotChars),
-    round: whole(),
+    term: nonNegativeInteger(),
+    snapshotIndex: nonNegativeInteger(),
+    offset: nonNegativeInteger(),
+    received: nonNegativeInteger().max(maxSnapshotChars),
+    round: nonNegativeInteger(),
   }),
-  timeoutNow: object({ type: typed('timeoutNow'), term: whole() }),
+  timeoutNow: object({ type: typed('timeoutNow'), term: nonNegativeInteger() }),
 });
--- a/src/control/wire/outcome-guard.ts
+++ b/src/control/wire/outcome-guard.ts
@@ -1,6 +1,6 @@
 import { boolean, mixed, number, object, string } from 'yup';
 import { typed, unionGuard } from '../../common/union.js';
-import type { Outcome } from '../state/outcome.js';
+import type { CommandOutcome } from '../state/command-outcome.js';
 import type { ProposalOutcome } from '../state/proposal-outcome.js';
 
 const revision = () => number().required().integer().min(0);
@@ -12,7 +12,7 @@
   forgotten: object({ type: typed('forgotten'), revision: revision() }),
 });
 
-export const isOutcome = unionGuard<Outcome>({
+export const isCommandOutcome = unionGuard<CommandOutcome>({
   done: object({ type: typed('done') }),
   claimed: object({ type: typed('claimed'), won: boolean().required(), holder: string().required() }),
   'claims-full': object({ type: typed('claims-full') }),
--- a/src/control/wire/snapshot-codec.ts
+++ b/src/control/wire/snapshot-codec.ts
@@ -2,20 +2,20 @@
 import { isSetupRecord } from '../../setup/check/setup-guard.js';
 import type { Snapshot } from '../log/snapshot.js';
 import { memberSchema } from './command-guard.js';
-import { decodeOrderHistory, encodeOrderHistory, orderHistorySchema } from './order-history-codec.js';
+import { decodeOutcomeHistory, encodeOutcomeHistory, outcomeHistorySchema } from './outcome-history-codec.js';
 
-const claimForm = /^\d+ \d+ \S+ \S+$/;
+const claimPattern = /^\d+ \d+ \S+ \S+$/;
 
-/** The form of a snapshot on the wire and on disk, with lists in place of maps. */
+/** The encoded form of a snapshot, on the wire and on disk, with lists in place of maps. */
 export const snapshotSchema = object({
   index: number().required().integer().min(0),
   term: number().required().integer().min(0),
   members: array(memberSchema).required(),
   clockUs: number().required().integer(),
   record: mixed(isSetupRecord).optional().default(undefined),
-  orders: orderHistorySchema,
-  /** Each claim as one text: bucket, time, exchange and key. */
-  claims: array(string().required().matches(claimForm)).required(),
+  orders: outcomeHistorySchema,
+  /** Each claim as one text: bucket, time, exchange and key, separated by spaces. */
+  claims: array(string().required().matches(claimPattern)).required(),
 }).required();
 
 export type PlainSnapshot = InferType<typeof snapshotSchema>;
@@ -29,7 +29,7 @@
     snapshot.state.record === undefined
       ? undefined
       : { ...snapshot.state.record, ...mutableRecord(snapshot.state.record) },
-  orders: encodeOrderHistory(snapshot.state),
+  orders: encodeOutcomeHistory(snapshot.state),
   claims: [...snapshot.state.buckets].flatMap(([bucket, claims]) =>
     [...claims].map(([key, claim]) => `${bucket} ${claim.atUs} ${claim.exchange} ${key}`),
   ),
@@ -61,7 +61,7 @@
     state: {
       clockUs: plain.clockUs,
       record: plain.record,
-      ...decodeOrderHistory(plain.orders),
+      ...decodeOutcomeHistory(plain.orders),
       buckets,
       claimCount: plain.claims.length,
     },
--- a/src/control/wire/snapshot-text.ts
+++ b/src/control/wire/snapshot-text.ts
@@ -6,8 +6,8 @@
 import { decodeSnapshot, encodeSnapshot, snapshotSchema } from './snapshot-codec.js';
 
 /**
- * The transfer form of a snapshot: JSON in ASCII, so that it may be cut at any place. Both functions are pure; the
- * replicated machine calls them itself, so that what is sent and what is acknowledged are decided in one place.
+ * A snapshot encoded for transfer: JSON in ASCII, so that it can be split at any character. Encoding and decoding are
+ * pure; the control state machine calls them itself, so that sends and acknowledgements are decided in one place.
  */
 export type EncodedSnapshot = {
   readonly index: number;
@@ -17,27 +17,26 @@
   readonly digest: string;
 };
 
-/** A snapshot whose text is longer is refused by the receiver, which bounds the memory of a transfer. */
+/** The receiver refuses a longer snapshot text, which limits the memory that a transfer uses. */
 export const maxSnapshotChars = 32 << 20;
 
 const nonAscii = /[\u0080-\uffff]/g;
 
-const escapedUnit = (unit: string): string => `\\u${unit.charCodeAt(0).toString(16).padStart(4, '0')}`;
+const escapeCodeUnit = (unit: string): string => `\\u${unit.charCodeAt(0).toString(16).padStart(4, '0')}`;
 
 const digestOf = (text: string): string => createHash('sha256').update(text, 'latin1').digest('hex');
 
-/** Encodes a snapshot for its transfer. */
 export const encodeSnapshotText = (snapshot: Snapshot): EncodedSnapshot => {
-  const text = JSON.stringify(encodeSnapshot(snapshot)).replace(nonAscii, escapedUnit);
+  const text = JSON.stringify(encodeSnapshot(snapshot)).replace(nonAscii, escapeCodeUnit);
   return { index: snapshot.index, term: snapshot.term, text, digest: digestOf(text) };
 };
 
-/** Decodes a whole text after its digest has been compared. */
+/** Decodes a complete text; a `bad-message` error if its digest differs or it does not match the schema. */
 export const decodeSnapshotText = (text: string, digest: string): Either<TypedError, Snapshot> => {
-  if (digestOf(text) !== digest) return Left(typedError('bad-message', 'the snapshot differs from its digest'));
+  if (digestOf(text) !== digest) return Left(typedError('bad-message', 'the snapshot text does not match its digest'));
   try {
     return checked(snapshotSchema, JSON.parse(text))
-      .mapLeft((faults) => typedError('bad-message', 'the snapshot is not of a known form', faults))
+      .mapLeft((faults) => typedError('bad-message', 'the snapshot does not match its schema', faults))
       .map(decodeSnapshot);
   } catch (thrown) {
     return Left(typedError('bad-message', messageOf(thrown)));
--- a/src/process/control/control-node.ts
+++ b/src/process/control/control-node.ts
@@ -1,7 +1,7 @@
 import { EitherAsync } from 'purify-ts';
 import { paused } from '../../common/clock/paused.js';
 import type { TypedError } from '../../common/typed-error.js';
-import { hasCommittedInTerm } from '../../control/machine/log-reading.js';
+import { hasCommittedInTerm } from '../../control/machine/log-queries.js';
 import { openCoreClient, type CoreClient } from '../core-client.js';
 import { openCounters, type Counters } from '../counters.js';
 import { openFailureReport } from '../failure-report.js';
--- a/src/process/control/control-task.ts
+++ b/src/process/control/control-task.ts
@@ -7,7 +7,7 @@
 import type { ControlStep } from '../../control/machine/control-step.js';
 import type { Replica } from '../../control/machine/replica.js';
 import { stateBytesOf } from '../../control/machine/state-limit.js';
-import { transferTimeoutUs } from '../../control/machine/timing.js';
+import { transferTimeoutUs } from '../../control/machine/parameters.js';
 import { snapshotRecordsOf } from '../../control/persistence/recovery.js';
 import type { DiskRing } from '../../disk/disk-ring.js';
 import type { Counters } from '../counters.js';
@@ -142,7 +142,7 @@
       const giveUpUs = clock.now() + transferTimeoutUs;
       mailbox.post({ type: 'resign', at: clock.now(), chance: chance() });
       await mailbox.idle();
-      while (replica.transferUntilUs !== undefined && clock.now() < giveUpUs) await paused(clock, tickUs);
+      while (replica.transferDeadlineUs !== undefined && clock.now() < giveUpUs) await paused(clock, tickUs);
     },
     close: async () => {
       endTicks();
--- a/src/process/control/durable-writer.ts
+++ b/src/process/control/durable-writer.ts
@@ -4,8 +4,8 @@
 import type { Micros } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
 import type { DurableRecord } from '../../control/log/durable-record.js';
-import { textCharsOf } from '../../control/machine/log-reading.js';
-import { maxAppendTextChars } from '../../control/machine/timing.js';
+import { documentCharsOf } from '../../control/machine/log-queries.js';
+import { maxBatchDocumentChars } from '../../control/machine/parameters.js';
 import { encodeDurableRecords } from '../../control/wire/durable-record-codec.js';
 import type { DiskRing } from '../../disk/disk-ring.js';
 import type { Counters } from '../counters.js';
@@ -42,8 +42,8 @@
   if (records.length === 0) return [];
   const textChars = records
     .flatMap((record) => (record.type === 'entries' ? record.entries : []))
-    .reduce((sum, entry) => sum + textCharsOf(entry), 0);
-  return textChars > maxAppendTextChars ? records.map((record) => [record]) : [records];
+    .reduce((sum, entry) => sum + documentCharsOf(entry), 0);
+  return textChars > maxBatchDocumentChars ? records.map((record) => [record]) : [records];
 };
 
 const mayPass = (kept: Either<TypedError, void>): boolean =>
--- a/src/process/control/effect-runner.ts
+++ b/src/process/control/effect-runner.ts
@@ -1,6 +1,6 @@
 import type { ControlEffect } from '../../control/machine/control-effect.js';
 import type { CoreReply } from '../../control/machine/core-reply.js';
-import { membersOf } from '../../control/machine/log-reading.js';
+import { membersOf } from '../../control/machine/log-queries.js';
 import type { ControlMessage } from '../../control/machine/message.js';
 import type { Replica } from '../../control/machine/replica.js';
 import type { Counters } from '../counters.js';
--- a/src/process/control/open-replica.ts
+++ b/src/process/control/open-replica.ts
@@ -1,7 +1,7 @@
 import { EitherAsync, type Either } from 'purify-ts';
 import type { TypedError } from '../../common/typed-error.js';
-import { startReplica, usualVoters, type Replica } from '../../control/machine/replica.js';
-import { stateLimitOf } from '../../control/machine/state-limit.js';
+import { createReplica, defaultVoterCount, type Replica } from '../../control/machine/replica.js';
+import { stateLimitBytesOf } from '../../control/machine/state-limit.js';
 import { recoverReplica } from '../../control/persistence/recovery.js';
 import { checkDurableRecords } from '../../control/persistence/record-rules.js';
 import { decodeDurableBatches, encodeDurableRecords } from '../../control/wire/durable-record-codec.js';
@@ -9,13 +9,13 @@
 import type { ControlSettings } from '../settings/control-settings.js';
 
 const freshReplicaOf = (settings: ControlSettings, freshName: () => string): Replica =>
-  startReplica(
+  createReplica(
     `${settings.node}-${freshName()}`,
     settings.partners,
     settings.seeds,
     settings.founds ?? true,
-    settings.voters ?? usualVoters,
-    stateLimitOf(settings.ringFileBytes),
+    settings.voters ?? defaultVoterCount,
+    stateLimitBytesOf(settings.ringFileBytes),
   );
 
 const recoverOrCreate = async (
--- a/src/process/control/quota-store-task.ts
+++ b/src/process/control/quota-store-task.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
-import { isVoter } from '../../control/machine/log-reading.js';
+import { isVoter } from '../../control/machine/log-queries.js';
 import type { Replica } from '../../control/machine/replica.js';
 import type { QuotaReply, QuotaRequest } from '../../quota/quota-messages.js';
 import { defaultTolerance, type QuotaTolerance } from '../../quota/quota-tolerance.js';
@@ -67,7 +67,7 @@
   };
 
   spread.events.on('setup', ({ setup }) => {
-    const shares = replica().votersWanted;
+    const shares = replica().targetVoterCount;
     take({ type: 'configured', at: clock.now(), tenants: setup.tenants ?? [], tolerance, shares });
   });
   spread.events.on('quotaRequest', (from, { ask, request }) => {
--- a/src/process/control/stall-heartbeats.ts
+++ b/src/process/control/stall-heartbeats.ts
@@ -2,7 +2,7 @@
 import type { ControlEffect } from '../../control/machine/control-effect.js';
 import type { Replica } from '../../control/machine/replica.js';
 import { heartbeatsOf } from '../../control/machine/replication.js';
-import { diskStallLimitUs, heartbeatIntervalUs } from '../../control/machine/timing.js';
+import { diskStallLimitUs, heartbeatIntervalUs } from '../../control/machine/parameters.js';
 import type { DurableWriter } from './durable-writer.js';
 
 /**
--- a/src/sim/core/final-checks.ts
+++ b/src/sim/core/final-checks.ts
@@ -1,7 +1,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import { oneOf } from '../../common/chance.js';
 import type { Micros } from '../../common/micros.js';
-import { votersOf } from '../../control/machine/log-reading.js';
+import { votersOf } from '../../control/machine/log-queries.js';
 import type { ConfigurationClient } from './configuration-client.js';
 import type { CoreFleet } from './core-fleet.js';
 import type { SimControl } from './sim-control.js';
--- a/src/sim/core/loss-in-change.ts
+++ b/src/sim/core/loss-in-change.ts
@@ -1,5 +1,5 @@
 import type { Micros } from '../../common/micros.js';
-import { hasOpenChange, lastIndexOf, lastTermOf, votersOf } from '../../control/machine/log-reading.js';
+import { hasUncommittedMembershipChange, lastIndexOf, lastTermOf, votersOf } from '../../control/machine/log-queries.js';
 import type { Replica } from '../../control/machine/replica.js';
 import type { CoreFleet } from './core-fleet.js';
 import type { SimControl } from './sim-control.js';
@@ -20,7 +20,7 @@
 
 /** Plays until the leader has begun a change of the members; none where it does not within two seconds. */
 const untilChange = async (fleet: CoreFleet): Promise<SimControl | undefined> => {
-  const isWanted = fleet.world.chance() < 0.7 ? addsVoter : hasOpenChange;
+  const isWanted = fleet.world.chance() < 0.7 ? addsVoter : hasUncommittedMembershipChange;
   const endUs = fleet.world.now() + mostWaitUs;
   while (fleet.world.now() < endUs) {
     const leader = fleet.leader();
--- a/src/sim/core/replacements.ts
+++ b/src/sim/core/replacements.ts
@@ -1,6 +1,6 @@
 import { oneOf } from '../../common/chance.js';
 import type { Micros } from '../../common/micros.js';
-import { isVoter } from '../../control/machine/log-reading.js';
+import { isVoter } from '../../control/machine/log-queries.js';
 import type { CoreFleet } from './core-fleet.js';
 import type { SimControl } from './sim-control.js';
 
--- a/src/sim/core/said.ts
+++ b/src/sim/core/said.ts
@@ -1,5 +1,5 @@
 import type { Replica } from '../../control/machine/replica.js';
-import { lastIndexOf } from '../../control/machine/log-reading.js';
+import { lastIndexOf } from '../../control/machine/log-queries.js';
 import type { PlainMessage } from '../../control/wire/message-codec.js';
 
 /** What a core machine has said to others; its disk must bear it out when it comes back. */
--- a/src/sim/core/sim-control.ts
+++ b/src/sim/core/sim-control.ts
@@ -1,7 +1,7 @@
 import type { Micros } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
-import { lastIndexOf } from '../../control/machine/log-reading.js';
-import { startReplica, type Replica } from '../../control/machine/replica.js';
+import { lastIndexOf } from '../../control/machine/log-queries.js';
+import { createReplica, type Replica } from '../../control/machine/replica.js';
 import { openControlNode, type ControlNode } from '../../process/control/control-node.js';
 import type { Log } from '../../process/log.js';
 import type { PeerLinks } from '../../spread/link/peer-links.js';
@@ -95,7 +95,7 @@
   let hasLostDisk = false;
   let changedSeeds: readonly string[] | undefined;
   let tasks: ControlNode | undefined;
-  let lastView = startReplica(name, address, seeds());
+  let lastView = createReplica(name, address, seeds());
   let presentLife: SimLife | undefined;
   let actInSync: { readonly sync: 'any' | 'rotation'; readonly act: (endSync: () => void) => void } | undefined;
   const takeActInSync = (makesFile: boolean): ((endSync: () => void) => void) | undefined => {
--- a/src/spread/frame/frame-guard.ts
+++ b/src/spread/frame/frame-guard.ts
@@ -3,7 +3,7 @@
 import type { CoreReply } from '../../control/machine/core-reply.js';
 import { isCommand } from '../../control/wire/command-guard.js';
 import { isPlainMessage } from '../../control/wire/message-codec.js';
-import { isOutcome, isProposalOutcome } from '../../control/wire/outcome-guard.js';
+import { isCommandOutcome, isProposalOutcome } from '../../control/wire/outcome-guard.js';
 import { isServerList } from '../../servers/list/is-server-list.js';
 import { isRecordDelta, isSetupRecord } from '../../setup/check/setup-guard.js';
 import { isQuotaReplyFrame, isQuotaRequestFrame } from './quota-guard.js';
@@ -18,7 +18,7 @@
 });
 
 const isCoreReply = unionGuard<CoreReply>({
-  applied: object({ type: typed('applied'), outcome: mixed(isOutcome).required() }),
+  applied: object({ type: typed('applied'), outcome: mixed(isCommandOutcome).required() }),
   record: object({
     type: typed('record'),
     record: mixed(isSetupRecord).optional().default(undefined),
--- a/tests/control/catch-up.test.ts
+++ b/tests/control/catch-up.test.ts
@@ -5,31 +5,31 @@
 import type { Snapshot } from '../../src/control/log/snapshot.js';
 import type { Member } from '../../src/control/members/member.js';
 import type { ControlMessage } from '../../src/control/machine/message.js';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
-import { maxAppendTextChars, snapshotPieceChars } from '../../src/control/machine/timing.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
+import { maxBatchDocumentChars, maxSnapshotPieceChars } from '../../src/control/machine/parameters.js';
 import { recoverReplica } from '../../src/control/persistence/recovery.js';
 import { applyCommand } from '../../src/control/state/apply.js';
-import { mostClaims } from '../../src/control/state/claims.js';
-import { startReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
+import { maxClaims } from '../../src/control/state/claims.js';
+import { emptyReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
 import { encodeSnapshotText } from '../../src/control/wire/snapshot-text.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
-import { openMachineCluster, type Delivery, type MachineCluster } from './machine-cluster.js';
+import { openReplicaCluster, type Delivery, type ReplicaCluster } from './replica-cluster.js';
 
 const second: Micros = 1_000_000;
 const identities = ['a', 'b', 'c'] as const;
 const members: readonly Member[] = identities.map((identity) => ({ identity, address: `${identity}:1`, voter: true }));
 const largeTextChars = 1 << 20;
 
-const claimedState = (count: number): ReplicatedState => {
-  let state = startReplicatedState;
-  for (let place = 0; place < count; place += 1) {
-    const key = `label-copy-rewrite/00000000-0000-4000-8000-${String(place).padStart(12, '0')}`;
-    state = applyCommand(state, { type: 'claim', key, exchange: `router-9.0123abcd.c${place}`, atUs: 1 }).state;
+const stateWithClaims = (count: number): ReplicatedState => {
+  let state = emptyReplicatedState;
+  for (let index = 0; index < count; index += 1) {
+    const key = `label-copy-rewrite/00000000-0000-4000-8000-${String(index).padStart(12, '0')}`;
+    state = applyCommand(state, { type: 'claim', key, exchange: `router-9.0123abcd.c${index}`, atUs: 1 }).state;
   }
   return state;
 };
 
-const change = (version: number): Command => ({
+const setupOf = (version: number): Command => ({
   type: 'setup',
   proposal: `p${version}`,
   expected: version - 1,
@@ -38,8 +38,8 @@
   atUs: 1,
 });
 
-const machineAt = (identity: string, snapshot: Snapshot): Replica => ({
-  ...startReplica(
+const replicaAt = (identity: string, snapshot: Snapshot): Replica => ({
+  ...createReplica(
     identity,
     `${identity}:1`,
     members.map((member) => member.address),
@@ -51,22 +51,22 @@
   role: 'follower',
 });
 
-const clusterWith = (seed: number, state: ReplicatedState): MachineCluster => {
+const clusterWith = (seed: number, state: ReplicatedState): ReplicaCluster => {
   const full: Snapshot = { index: 100, term: 1, members, state };
-  const early: Snapshot = { index: 1, term: 1, members, state: startReplicatedState };
-  return openMachineCluster(seed, [machineAt('a', full), machineAt('b', full), machineAt('c', early)]);
+  const initial: Snapshot = { index: 1, term: 1, members, state: emptyReplicatedState };
+  return openReplicaCluster(seed, [replicaAt('a', full), replicaAt('b', full), replicaAt('c', initial)]);
 };
 
 const digestOf = (state: ReplicatedState): string =>
   encodeSnapshotText({ index: 0, term: 0, members: [], state }).digest;
 
-const troubled: Delivery = (_from, _to, _message, chance) => {
+const lossyDelivery: Delivery = (_from, _to, _message, chance) => {
   if (chance < 0.1) return [];
   const delayUs = 1_000 + Math.floor(chance * 40_000);
   return chance > 0.9 ? [delayUs, delayUs * 3] : [delayUs];
 };
 
-const sizeOf = (message: ControlMessage): number => {
+const payloadChars = (message: ControlMessage): number => {
   if (message.type === 'installSnapshot') return message.piece.length;
   if (message.type !== 'append') return 0;
   return message.entries.reduce(
@@ -75,52 +75,52 @@
   );
 };
 
-const playChanges = (cluster: MachineCluster, count: number, spanUs: Micros): void => {
-  for (let done = 0; done < count; done += 1) {
+const commitSetups = (cluster: ReplicaCluster, count: number, intervalUs: Micros): void => {
+  for (let index = 0; index < count; index += 1) {
     const version = (cluster.leader()?.state.record?.original?.version ?? 0) + 1;
-    cluster.propose(change(version));
-    cluster.playFor(spanUs);
+    cluster.propose(setupOf(version));
+    cluster.playFor(intervalUs);
   }
 };
 
-/** How long a member takes until it has what the leader had committed when this was called. */
-const catchUpUs = (cluster: MachineCluster, identity: string, boundUs: Micros): Micros => {
+/** The time that a member takes to reach the commit index that the leader had at the time of the call. */
+const measureCatchUpUs = (cluster: ReplicaCluster, identity: string, limitUs: Micros): Micros => {
   const startUs = cluster.now();
   const target = cluster.leader()?.commit ?? Number.POSITIVE_INFINITY;
-  while (cluster.replica(identity).commit < target && cluster.now() - startUs < boundUs) cluster.playFor(50_000);
+  while (cluster.replica(identity).commit < target && cluster.now() - startUs < limitUs) cluster.playFor(50_000);
   return cluster.now() - startUs;
 };
 
-const assertSameStates = (cluster: MachineCluster): void => {
-  const reference = cluster.leader();
-  assert.ok(reference !== undefined);
+const assertSameStates = (cluster: ReplicaCluster): void => {
+  const expected = cluster.leader();
+  assert.ok(expected !== undefined);
   for (const identity of identities) {
     const replica = cluster.replica(identity);
-    assert.is(replica.commit, reference.commit, identity);
-    assert.is(digestOf(replica.state), digestOf(reference.state), identity);
+    assert.is(replica.commit, expected.commit, identity);
+    assert.is(digestOf(replica.state), digestOf(expected.state), identity);
   }
 };
 
-const assertRecoversAt = (cluster: MachineCluster, identity: string): void => {
-  const start = startReplica(identity, `${identity}:1`, []);
+const assertRecoversAt = (cluster: ReplicaCluster, identity: string): void => {
+  const start = createReplica(identity, `${identity}:1`, []);
   const recovered = recoverReplica(start, cluster.records(identity));
-  const reference = cluster.stateAt(recovered.commit);
-  assert.ok(reference !== undefined, `no machine was at index ${recovered.commit}`);
-  assert.is(digestOf(recovered.state), digestOf(reference), `${identity} at ${recovered.commit}`);
+  const expected = cluster.stateAt(recovered.commit);
+  assert.ok(expected !== undefined, `no replica has applied index ${recovered.commit}`);
+  assert.is(digestOf(recovered.state), digestOf(expected), `${identity} at ${recovered.commit}`);
 };
 
-const bound: Micros = 20 * second;
+const limitUs: Micros = 20 * second;
 
-test('a member that was down for 1,000 changes, some of 1 MB, beside 100,000 claims, catches up through troubles', () => {
-  const cluster = clusterWith(11, claimedState(mostClaims));
+test('a member that missed 1,000 setups, some of 1 MB, and 100,000 claims catches up over a lossy network', () => {
+  const cluster = clusterWith(11, stateWithClaims(maxClaims));
   cluster.stop('c');
   cluster.playFor(3 * second);
-  playChanges(cluster, 1_000, 5_000);
+  commitSetups(cluster, 1_000, 5_000);
   assert.is(cluster.leader()?.state.record?.original?.version, 1_000);
   cluster.restart('c');
-  cluster.deliver(troubled);
-  const tookUs = catchUpUs(cluster, 'c', bound);
-  assert.ok(tookUs < bound, `not there after ${tookUs} us`);
+  cluster.deliver(lossyDelivery);
+  const tookUs = measureCatchUpUs(cluster, 'c', limitUs);
+  assert.ok(tookUs < limitUs, `not caught up after ${tookUs} us`);
   cluster.deliver(() => [1_000]);
   cluster.playFor(second);
   assertSameStates(cluster);
@@ -128,26 +128,26 @@
   const pieces = cluster.sent.filter(({ message }) => message.type === 'installSnapshot');
   assert.ok(pieces.length > 50, `${pieces.length} pieces`);
   for (const { message } of cluster.sent)
-    assert.ok(sizeOf(message) <= (message.type === 'append' ? maxAppendTextChars : snapshotPieceChars));
+    assert.ok(payloadChars(message) <= (message.type === 'append' ? maxBatchDocumentChars : maxSnapshotPieceChars));
 });
 
-test('an empty member catches up while changes go on, the log is compacted and the leader changes', () => {
+test('an empty member catches up while setups are committed, the log is compacted and the leader changes', () => {
   for (let seed = 20; seed < 22; seed += 1) {
-    const cluster = clusterWith(seed, claimedState(20_000));
+    const cluster = clusterWith(seed, stateWithClaims(20_000));
     cluster.stop('c');
     cluster.playFor(3 * second);
     cluster.restart('c', true);
-    cluster.deliver(troubled);
-    playChanges(cluster, 60, 10_000);
-    const former = cluster.leader()?.identity;
-    assert.ok(former !== undefined);
-    cluster.stop(former);
+    cluster.deliver(lossyDelivery);
+    commitSetups(cluster, 60, 10_000);
+    const previousLeader = cluster.leader()?.identity;
+    assert.ok(previousLeader !== undefined);
+    cluster.stop(previousLeader);
     cluster.playFor(second);
-    cluster.restart(former);
+    cluster.restart(previousLeader);
     cluster.playFor(3 * second);
-    playChanges(cluster, 100, 10_000);
-    const tookUs = catchUpUs(cluster, 'c', bound);
-    assert.ok(tookUs < bound, `seed ${seed}: not there after ${tookUs} us`);
+    commitSetups(cluster, 100, 10_000);
+    const tookUs = measureCatchUpUs(cluster, 'c', limitUs);
+    assert.ok(tookUs < limitUs, `seed ${seed}: not caught up after ${tookUs} us`);
     cluster.deliver(() => [1_000]);
     cluster.playFor(2 * second);
     assertSameStates(cluster);
@@ -155,22 +155,22 @@
   }
 });
 
-test('a member on a thin link catches up while changes go on, and the leader stays', () => {
-  const cluster = clusterWith(31, claimedState(20_000));
+test('a member on a slow link catches up while setups are committed, and the leader does not change', () => {
+  const cluster = clusterWith(31, stateWithClaims(20_000));
   cluster.stop('c');
   cluster.playFor(3 * second);
   const leader = cluster.leader();
   assert.ok(leader !== undefined);
-  let freeUs = 0;
+  let linkFreeUs = 0;
   cluster.deliver((_from, to, message) => {
     if (to !== 'c') return [1_000];
-    freeUs = Math.max(freeUs, cluster.now()) + sizeOf(message);
-    return [freeUs - cluster.now() + 1_000];
+    linkFreeUs = Math.max(linkFreeUs, cluster.now()) + payloadChars(message);
+    return [linkFreeUs - cluster.now() + 1_000];
   });
   cluster.restart('c');
-  playChanges(cluster, 200, 100_000);
-  const tookUs = catchUpUs(cluster, 'c', bound);
-  assert.ok(tookUs < bound, `not there after ${tookUs} us`);
+  commitSetups(cluster, 200, 100_000);
+  const tookUs = measureCatchUpUs(cluster, 'c', limitUs);
+  assert.ok(tookUs < limitUs, `not caught up after ${tookUs} us`);
   assert.equal([cluster.leader()?.identity, cluster.leader()?.term], [leader.identity, leader.term]);
 });
 
--- a/tests/control/core-client.test.ts
+++ b/tests/control/core-client.test.ts
@@ -12,10 +12,15 @@
 import { openNetwork } from '../../src/sim/world/network.js';
 import { openWorld } from '../../src/sim/world/world.js';
 
-const won: CoreReply = { type: 'applied', outcome: { type: 'claimed', won: true, holder: 'x' } };
+const wonClaim: CoreReply = { type: 'applied', outcome: { type: 'claimed', won: true, holder: 'x' } };
 
-/** Asks a core of which one machine answers each request after a while; what it is told, and when. */
-const askedOf = async (receiptAfterUs: number, budgetUs: number, reply: CoreReply = won, replier = 'core:1') => {
+/** Sends a request to a core of one node that replies after a delay; the result, and when it arrived. */
+const requestResult = async (
+  replyDelayUs: number,
+  budgetUs: number,
+  reply: CoreReply = wonClaim,
+  replier = 'core:1',
+) => {
   const world = openWorld(1);
   const ports: SimPorts = new Map();
   const surroundings = simSurroundingsOf(
@@ -34,47 +39,45 @@
   await spread.start();
   ports.set('core:1', (from, frame) => {
     if (frame.type === 'request')
-      world.after(receiptAfterUs, () =>
-        ports.get(from)?.(replier, { type: 'reply', requestId: frame.requestId, reply }),
-      );
+      world.after(replyDelayUs, () => ports.get(from)?.(replier, { type: 'reply', requestId: frame.requestId, reply }));
   });
   const core = openCoreClient(spread, surroundings);
-  const told: { word: Either<TypedError, CoreReply> | undefined; atUs: number } = { word: undefined, atUs: 0 };
+  const received: { result: Either<TypedError, CoreReply> | undefined; atUs: number } = { result: undefined, atUs: 0 };
   void core
     .ask({ type: 'propose', command: { type: 'claim', key: 'k', exchange: 'x', atUs: 0 } }, budgetUs)
-    .then((word) => {
-      told.word = word;
-      told.atUs = world.now();
+    .then((result) => {
+      received.result = result;
+      received.atUs = world.now();
     });
   await world.playUntil(10_000_000);
-  return told;
+  return received;
 };
 
-test('an answer that comes in the last pause counts', async () => {
-  const { word } = await askedOf(615_000, 600_000);
-  assert.equal(word?.extract(), won);
+test('a reply that arrives in the wait after the last attempt is accepted', async () => {
+  const { result } = await requestResult(615_000, 600_000);
+  assert.equal(result?.extract(), wonClaim);
 });
 
-test('an answer to an earlier try counts as soon as it comes', async () => {
-  const { word, atUs } = await askedOf(1_000_000, 3_000_000);
-  assert.equal(word?.extract(), won);
+test('a reply to an earlier attempt is accepted as soon as it arrives', async () => {
+  const { result, atUs } = await requestResult(1_000_000, 3_000_000);
+  assert.equal(result?.extract(), wonClaim);
   assert.ok(atUs < 1_010_000, `${atUs} us`);
 });
 
-test('without any word a proposal is undecided at the end of its budget, no later', async () => {
-  const { word, atUs } = await askedOf(5_000_000, 2_000_000);
-  assert.ok(word?.isLeft() && word.extract().type === 'undecided');
+test('without a reply a proposal is undecided at the end of its time budget, not later', async () => {
+  const { result, atUs } = await requestResult(5_000_000, 2_000_000);
+  assert.ok(result?.isLeft() && result.extract().type === 'undecided');
   assert.ok(atUs <= 2_050_000, `${atUs} us`);
 });
 
-test('a core that has no leader to name is unreachable: nothing was begun', async () => {
-  const { word } = await askedOf(1_000, 500_000, { type: 'not-leader', leader: undefined });
-  assert.ok(word?.isLeft() && word.extract().type === 'unreachable');
+test('a core without a known leader is unreachable: the request was not started', async () => {
+  const { result } = await requestResult(1_000, 500_000, { type: 'not-leader', leader: undefined });
+  assert.ok(result?.isLeft() && result.extract().type === 'unreachable');
 });
 
-test('a reply from an address that was not asked is no answer', async () => {
-  const { word } = await askedOf(1_000, 2_000_000, won, 'core:2');
-  assert.ok(word?.isLeft() && word.extract().type === 'undecided');
+test('a reply from an address that the request was not sent to is ignored', async () => {
+  const { result } = await requestResult(1_000, 2_000_000, wonClaim, 'core:2');
+  assert.ok(result?.isLeft() && result.extract().type === 'undecided');
 });
 
 test.run();
--- a/tests/control/durable-writer.test.ts
+++ b/tests/control/durable-writer.test.ts
@@ -4,7 +4,7 @@
 import { typedError } from '../../src/common/typed-error.js';
 import type { DurableRecord } from '../../src/control/log/durable-record.js';
 import type { LogEntry } from '../../src/control/log/log-entry.js';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
 import { stepControl } from '../../src/control/machine/step.js';
 import { checkDurableRecords } from '../../src/control/persistence/record-rules.js';
 import { recoverReplica, snapshotRecordsOf } from '../../src/control/persistence/recovery.js';
@@ -24,11 +24,11 @@
 
 const soleLeader = (): Replica => {
   const members = [{ identity: 'a', address: 'a:1', voter: true }];
-  const start = startReplica('a', 'a:1', ['a:1'], true, 1);
+  const start = createReplica('a', 'a:1', ['a:1'], true, 1);
   return { ...start, snapshot: { ...start.snapshot, members }, role: 'leader', leader: 'a', term: 1 };
 };
 
-test('a file that turns between two large batches holds all of them once, and recovers without a gap', async () => {
+test('a ring file that is started between two large batches holds every record once, and recovers without a gap', async () => {
   let replica = soleLeader();
   const records: DurableRecord[] = [];
   for (const version of [1, 2]) {
@@ -63,13 +63,13 @@
   const { recovered } = (await openDiskRing(memory.files)).unsafeCoerce();
   const batches = [...(recovered.snapshot === undefined ? [] : [recovered.snapshot]), ...recovered.records];
   const checked = decodeDurableBatches(batches).chain((decoded) => checkDurableRecords('/data', decoded));
-  const again = recoverReplica(startReplica('none', 'a:1', []), checked.unsafeCoerce());
+  const reopened = recoverReplica(createReplica('none', 'a:1', []), checked.unsafeCoerce());
   const indexes = (entries: readonly LogEntry[]): readonly number[] => entries.map((entry) => entry.index);
-  assert.equal([again.commit, indexes(again.entries)], [2, []]);
-  assert.is(again.state.record?.original?.version, 2);
+  assert.equal([reopened.commit, indexes(reopened.entries)], [2, []]);
+  assert.is(reopened.state.record?.original?.version, 2);
 });
 
-test('records that break the rules of the log are not recovered, and the ring is closed', async () => {
+test('records that violate the log invariants are not recovered, and the ring is closed', async () => {
   const memory = openMemoryFiles(2, fileBytes);
   const ring = (await openDiskRing(memory.files)).unsafeCoerce();
   const append = (record: DurableRecord) => {
@@ -79,9 +79,9 @@
   (await append({ type: 'vote', term: 5, votedFor: 'a' })).unsafeCoerce();
   (await append({ type: 'vote', term: 4, votedFor: 'b' })).unsafeCoerce();
   let isClosed = false;
-  const again = (await openDiskRing(memory.files)).unsafeCoerce();
-  const watched = {
-    ...again,
+  const reopened = (await openDiskRing(memory.files)).unsafeCoerce();
+  const observedRing = {
+    ...reopened,
     close: () => {
       isClosed = true;
       return Promise.resolve();
@@ -97,19 +97,19 @@
     ringFiles: 2,
     ringFileBytes: fileBytes,
   };
-  const error = (await openReplica(watched, settings, () => 'x').run()).swap().toMaybe().extractNullable();
+  const error = (await openReplica(observedRing, settings, () => 'x').run()).swap().toMaybe().extractNullable();
   assert.equal([error?.type, error?.message.startsWith('/data:'), isClosed], ['damaged-disk', true, true]);
 });
 
-test('a disk that refuses at the start is opened again by the product; damage is not', async () => {
+test('opening a disk that fails at the start is retried; a damaged disk is not', async () => {
   const world = openWorld(2);
   const { clock } = openSimNode(world).begin();
-  let tries = 0;
+  let attempts = 0;
   const opened = openWithRetry(
     () => {
-      tries += 1;
+      attempts += 1;
       return EitherAsync.liftEither(
-        tries < 4 ? Left(typedError(tries === 2 ? 'disk-refusal' : 'disk-error', 'ENOSPC')) : Right('open'),
+        attempts < 4 ? Left(typedError(attempts === 2 ? 'disk-refusal' : 'disk-error', 'ENOSPC')) : Right('open'),
       );
     },
     clock,
@@ -117,17 +117,17 @@
   ).run();
   await world.playUntil(reopenUs * 4);
   assert.is((await opened).unsafeCoerce(), 'open');
-  assert.is(tries, 4);
-  let damagedTries = 0;
+  assert.is(attempts, 4);
+  let damagedAttempts = 0;
   const damaged = await openWithRetry<string>(
     () => {
-      damagedTries += 1;
+      damagedAttempts += 1;
       return EitherAsync.liftEither(Left(typedError('damaged-disk', 'ring-0.bin')));
     },
     clock,
     { change: () => undefined },
   ).run();
-  assert.equal([damaged.swap().toMaybe().extractNullable()?.type, damagedTries], ['damaged-disk', 1]);
+  assert.equal([damaged.swap().toMaybe().extractNullable()?.type, damagedAttempts], ['damaged-disk', 1]);
 });
 
 test.run();
--- a/tests/control/invariants.test.ts
+++ b/tests/control/invariants.test.ts
@@ -2,9 +2,9 @@
 import * as assert from 'uvu/assert';
 import type { DurableRecord } from '../../src/control/log/durable-record.js';
 import type { LogEntry } from '../../src/control/log/log-entry.js';
-import { checkedStep, checkLogShape } from '../../src/control/machine/invariants.js';
+import { checkStepInvariants, checkLogShape } from '../../src/control/machine/invariants.js';
 import type { ControlMessage } from '../../src/control/machine/message.js';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
 import { stepControl } from '../../src/control/machine/step.js';
 import { openCounters } from '../../src/process/counters.js';
 import { openSpreadTask } from '../../src/process/spread-task.js';
@@ -31,7 +31,7 @@
 });
 
 const follower: Replica = {
-  ...startReplica('a', 'a:1', ['a:1', 'b:1', 'c:1']),
+  ...createReplica('a', 'a:1', ['a:1', 'b:1', 'c:1']),
   role: 'follower',
   term: 4,
   votedFor: 'b',
@@ -43,47 +43,54 @@
 const persisted = (...records: readonly DurableRecord[]) =>
   records.map((record) => ({ type: 'persist' as const, record }));
 
-const breaks = (
+const assertViolation = (
   former: Replica,
   change: Partial<Replica>,
   rule: RegExp,
   ...records: readonly DurableRecord[]
 ): void => {
-  assert.throws(() => checkedStep(former, { replica: { ...former, ...change }, effects: persisted(...records) }), rule);
+  assert.throws(
+    () => checkStepInvariants(former, { replica: { ...former, ...change }, effects: persisted(...records) }),
+    rule,
+  );
 };
 
-test('a step that changes nothing is given back as it is', () => {
+test('a step that changes nothing is returned unchanged', () => {
   const step = { replica: follower, effects: [] };
-  assert.is(checkedStep(follower, step), step);
+  assert.is(checkStepInvariants(follower, step), step);
 });
 
-test('terms never fall, and there is one vote a term', () => {
-  breaks(follower, { term: 3 }, /term fell from 4 to 3/);
-  breaks(follower, { votedFor: 'c' }, /vote of term 4 changed from b to c/, { type: 'vote', term: 4, votedFor: 'c' });
-  breaks(follower, { votedFor: undefined }, /vote of term 4 changed/);
+test('terms never decrease, and there is one vote per term', () => {
+  assertViolation(follower, { term: 3 }, /term decreased from 4 to 3/);
+  assertViolation(follower, { votedFor: 'c' }, /vote of term 4 changed from b to c/, {
+    type: 'vote',
+    term: 4,
+    votedFor: 'c',
+  });
+  assertViolation(follower, { votedFor: undefined }, /vote of term 4 changed/);
 });
 
-test('a term and a vote are persisted in the step that takes them', () => {
-  breaks(follower, { term: 5, votedFor: 'c' }, /term 5 with a vote for c is not persisted/);
-  breaks(follower, { term: 5, votedFor: 'c' }, /is not persisted/, { type: 'vote', term: 5 });
-  checkedStep(follower, {
+test('a new term and a vote are persisted in the step that sets them', () => {
+  assertViolation(follower, { term: 5, votedFor: 'c' }, /term 5 with a vote for c was not persisted/);
+  assertViolation(follower, { term: 5, votedFor: 'c' }, /was not persisted/, { type: 'vote', term: 5 });
+  checkStepInvariants(follower, {
     replica: { ...follower, term: 5, votedFor: 'c' },
     effects: persisted({ type: 'vote', term: 5 }, { type: 'vote', term: 5, votedFor: 'c' }),
   });
 });
 
-test('the commit index never falls, never passes the end of the log and is of no later term', () => {
-  breaks(follower, { commit: 1 }, /commit index fell from 2 to 1/);
-  breaks(follower, { commit: 4 }, /commit index 4 is past the end of the log, 3/);
+test('the commit index never decreases, never passes the end of the log, and its entry has no later term', () => {
+  assertViolation(follower, { commit: 1 }, /commit index decreased from 2 to 1/);
+  assertViolation(follower, { commit: 4 }, /commit index 4 is past the end of the log, 3/);
   const ahead = { ...follower, entries: [membersEntry, claimAt(2, 2), claimAt(3, 9)] };
-  breaks(ahead, { commit: 3 }, /committed entry 3 is of term 9, the replica in term 4/);
+  assertViolation(ahead, { commit: 3 }, /committed entry 3 has term 9, the replica is in term 4/);
 });
 
-test('nothing at or below the commit index is cut or replaced', () => {
+test('no entry at or below the commit index is removed or replaced', () => {
   const replacement = claimAt(2, 4);
-  breaks(follower, { entries: [membersEntry] }, /commit index 2 is past the end/);
-  breaks(follower, { entries: [membersEntry, replacement] }, /committed entry 2 changed from term 2 to 4/);
-  breaks(
+  assertViolation(follower, { entries: [membersEntry] }, /commit index 2 is past the end/);
+  assertViolation(follower, { entries: [membersEntry, replacement] }, /committed entry 2 changed from term 2 to 4/);
+  assertViolation(
     follower,
     { entries: [membersEntry, claimAt(2, 2), claimAt(3, 4)] },
     /entry 2 replaces a log that is committed up to 2/,
@@ -91,29 +98,36 @@
   );
 });
 
-test('a leader never replaces an entry of its own log, a follower may replace one that is not committed', () => {
+test('a leader never replaces an entry of its own log; a follower may replace an uncommitted one', () => {
   const entries = [claimAt(3, 4)];
-  breaks(leader, {}, /leader of term 4 replaces its own entry 3/, { type: 'entries', entries });
-  checkedStep(follower, { replica: follower, effects: persisted({ type: 'entries', entries }) });
+  assertViolation(leader, {}, /leader of term 4 replaces its own entry 3/, { type: 'entries', entries });
+  checkStepInvariants(follower, { replica: follower, effects: persisted({ type: 'entries', entries }) });
 });
 
-test('entries are persisted in the step that takes them', () => {
-  breaks(follower, { entries: [...follower.entries, claimAt(4, 4)] }, /log up to entry 4 of term 4 is not persisted/);
+test('entries are persisted in the step that adds them', () => {
+  assertViolation(
+    follower,
+    { entries: [...follower.entries, claimAt(4, 4)] },
+    /log up to entry 4 of term 4 was not persisted/,
+  );
 });
 
-test('the log is contiguous behind its snapshot, which holds committed entries only', () => {
+test('the log continues its snapshot without a gap, and the snapshot holds committed entries only', () => {
   const snapshotAt = (index: number) => ({ ...follower.snapshot, index, term: 2 });
   assert.throws(
     () => checkLogShape({ ...follower, entries: [membersEntry, claimAt(3, 4)] }),
-    /log of 2 entries ends at 3/,
+    /log of 2 entries ends at index 3/,
+  );
+  assert.throws(() => checkLogShape({ ...follower, entries: [claimAt(2, 2)] }), /log starts at index 2/);
+  assert.throws(
+    () => checkLogShape({ ...follower, snapshot: snapshotAt(3), entries: [] }),
+    /snapshot ends at index 3, past/,
   );
-  assert.throws(() => checkLogShape({ ...follower, entries: [claimAt(2, 2)] }), /log begins at 2/);
-  assert.throws(() => checkLogShape({ ...follower, snapshot: snapshotAt(3), entries: [] }), /snapshot ends at 3, past/);
   checkLogShape({ ...follower, snapshot: snapshotAt(2), entries: [claimAt(3, 4)] });
-  breaks(follower, { entries: [...follower.entries, claimAt(4, 4), claimAt(6, 4)] }, /ends at 6/);
+  assertViolation(follower, { entries: [...follower.entries, claimAt(4, 4), claimAt(6, 4)] }, /ends at index 6/);
 });
 
-/** A leader's append that contradicts what the follower has committed. */
+/** An append that conflicts with an entry that the follower has committed. */
 const contradictingAppend = (term: number): ControlMessage => ({
   type: 'append',
   term,
@@ -124,14 +138,14 @@
   round: 1,
 });
 
-test('an append that would cut below the commit index is no step', () => {
+test('an append that would remove a committed entry throws', () => {
   assert.throws(
     () => stepControl(follower, { type: 'message', at: 1, chance: 0, from: 'b', message: contradictingAppend(4) }),
     /replaces a log that is committed up to 2|committed entry 2 changed/,
   );
 });
 
-test('a process whose replica breaks an invariant ends before it persists or sends anything', async () => {
+test('a process whose replica violates an invariant exits before it persists or sends anything', async () => {
   const fleet = openCoreFleet(1);
   const { world, rules } = fleet;
   await fleet.playFor(5 * second);
@@ -154,12 +168,12 @@
     message: contradictingAppend(before.term + 1),
   });
   await fleet.playFor(second / 2);
-  assert.not.ok(victim.isUp(), 'the process has ended');
+  assert.not.ok(victim.isUp(), 'the process has exited');
   assert.ok(
     rules.broken().some((text) => /broken-invariant: .*committed/.test(text)),
     rules.broken().join('\n'),
   );
-  assert.is(victim.replica().term, before.term, 'the step was not taken');
+  assert.is(victim.replica().term, before.term, 'the step was not applied');
   victim.start();
   await fleet.playFor(3 * second);
   const after = victim.replica();
@@ -167,18 +181,23 @@
   assert.equal(
     after.entries.slice(0, before.commit),
     before.entries.slice(0, before.commit),
-    'the committed log stays',
+    'the committed log is unchanged',
   );
   assert.is(rules.broken().length, 1, rules.broken().join('\n'));
 });
 
-test('replicas of one leader at one commit index that have applied other states are found', () => {
+test('two replicas with the same leader and commit index but different states are reported', () => {
   const rules = openCoreRules(openWorld(1));
-  const led: Replica = { ...follower, leader: 'b' };
-  const other: Replica = { ...led, state: { ...led.state, claimCount: 1 } };
-  rules.compareStates([led, { ...led, identity: 'c' }, { ...other, commit: 3 }, { ...other, leader: undefined }]);
+  const followerOfB: Replica = { ...follower, leader: 'b' };
+  const diverged: Replica = { ...followerOfB, state: { ...followerOfB.state, claimCount: 1 } };
+  rules.compareStates([
+    followerOfB,
+    { ...followerOfB, identity: 'c' },
+    { ...diverged, commit: 3 },
+    { ...diverged, leader: undefined },
+  ]);
   assert.equal(rules.broken(), []);
-  rules.compareStates([led, other]);
+  rules.compareStates([followerOfB, diverged]);
   assert.match(rules.broken()[0] ?? '', /two replicas of b term 4 entry 2 have applied other states/);
 });
 
--- a/tests/control/membership.test.ts
+++ b/tests/control/membership.test.ts
@@ -2,12 +2,12 @@
 import * as assert from 'uvu/assert';
 import type { LogEntry } from '../../src/control/log/log-entry.js';
 import type { Member } from '../../src/control/members/member.js';
-import { membersOf, votersOf } from '../../src/control/machine/log-reading.js';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
-import { newProgress } from '../../src/control/machine/replication.js';
+import { membersOf, votersOf } from '../../src/control/machine/log-queries.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
+import { initialProgress } from '../../src/control/machine/replication.js';
 import { stepControl } from '../../src/control/machine/step.js';
 import type { ControlMessage } from '../../src/control/machine/message.js';
-import { isSettledOn, openPureCore } from './pure-core.js';
+import { isSettledOn, openSimulatedCore } from './simulated-core.js';
 
 const second = 1_000_000;
 const seeds = ['a:1', 'b:1', 'c:1'];
@@ -20,35 +20,44 @@
   command: { type: 'members', members },
 });
 
-const founding = membersAt(1, 0, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', false)]);
-const promotion = membersAt(2, 1, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', true)]);
+const bootstrapEntry = membersAt(1, 0, [
+  member('a', 'a:1', true),
+  member('b', 'b:1', true),
+  member('c1', 'c:1', false),
+]);
+const promotionEntry = membersAt(2, 1, [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', true)]);
 
-test('a learner that lacks the entry that promotes it lets the voter that has it be elected', () => {
-  const passive = { term: 1, electionUs: 100_000, leaderContactUs: 0 };
+test('a learner that lacks the entry which promotes it votes for a voter that has it', () => {
+  const timing = { term: 1, electionUs: 100_000, leaderContactUs: 0 };
   let voter: Replica = {
-    ...startReplica('b', 'b:1', seeds),
-    ...passive,
+    ...createReplica('b', 'b:1', seeds),
+    ...timing,
     role: 'follower',
-    entries: [founding, promotion],
+    entries: [bootstrapEntry, promotionEntry],
+  };
+  let learner: Replica = {
+    ...createReplica('c1', 'c:1', seeds),
+    ...timing,
+    role: 'learner',
+    entries: [bootstrapEntry],
   };
-  let learner: Replica = { ...startReplica('c1', 'c:1', seeds), ...passive, role: 'learner', entries: [founding] };
   for (let at = 0; at < 10 * second && voter.role !== 'leader'; at += 25_000) {
-    const asked = stepControl(voter, { type: 'tick', at, chance: 0.5 });
-    voter = asked.replica;
+    const requested = stepControl(voter, { type: 'tick', at, chance: 0.5 });
+    voter = requested.replica;
     learner = stepControl(learner, { type: 'tick', at, chance: 0.5 }).replica;
-    const toLearner = asked.effects.flatMap((effect) =>
+    const sentToLearner = requested.effects.flatMap((effect) =>
       effect.type === 'send' && effect.to === 'c1' ? [effect.message] : [],
     );
-    const waiting = [...toLearner];
-    for (let message = waiting.shift(); message !== undefined; message = waiting.shift()) {
-      const heard = stepControl(learner, { type: 'message', at, chance: 0.5, from: 'b', message });
-      learner = heard.replica;
-      for (const effect of heard.effects) {
+    const pendingMessages = [...sentToLearner];
+    for (let message = pendingMessages.shift(); message !== undefined; message = pendingMessages.shift()) {
+      const learnerStep = stepControl(learner, { type: 'message', at, chance: 0.5, from: 'b', message });
+      learner = learnerStep.replica;
+      for (const effect of learnerStep.effects) {
         if (effect.type !== 'send' || effect.to !== 'b') continue;
-        const back = stepControl(voter, { type: 'message', at, chance: 0.5, from: 'c1', message: effect.message });
-        voter = back.replica;
-        waiting.push(
-          ...back.effects.flatMap((next) => (next.type === 'send' && next.to === 'c1' ? [next.message] : [])),
+        const voterStep = stepControl(voter, { type: 'message', at, chance: 0.5, from: 'c1', message: effect.message });
+        voter = voterStep.replica;
+        pendingMessages.push(
+          ...voterStep.effects.flatMap((next) => (next.type === 'send' && next.to === 'c1' ? [next.message] : [])),
         );
       }
     }
@@ -56,10 +65,10 @@
   assert.is(voter.role, 'leader');
 });
 
-test('a join of an identity that is gone changes no members, however it comes', () => {
+test('a join of an identity that is gone from its address changes no members, whoever sends it', () => {
   const members = [member('a', 'a:1', true), member('b', 'b:1', true), member('c2', 'c:1', true)];
-  const bornLeader: Replica = {
-    ...startReplica('a', 'a:1', seeds),
+  const initialLeader: Replica = {
+    ...createReplica('a', 'a:1', seeds),
     role: 'leader',
     leader: 'a',
     term: 1,
@@ -67,8 +76,8 @@
     commit: 1,
   };
   const leader: Replica = {
-    ...bornLeader,
-    progress: new Map(['b', 'c2'].map((identity) => [identity, { ...newProgress(bornLeader), match: 1 }])),
+    ...initialLeader,
+    progress: new Map(['b', 'c2'].map((identity) => [identity, { ...initialProgress(initialLeader), match: 1 }])),
   };
   for (const from of ['b', 'c1']) {
     const joined = stepControl(leader, {
@@ -82,15 +91,15 @@
   }
 });
 
-test('a late join of a former life of an address leaves the life that votes there in its place', () => {
+test('a delayed join of an earlier identity of an address does not replace the voter at that address', () => {
   for (let seed = 1; seed <= 10; seed += 1) {
-    const core = openPureCore(seed, seeds, 3);
+    const core = openSimulatedCore(seed, seeds, 3);
     assert.ok(
       core.playUntil(() => isSettledOn(core, seeds), 10 * second),
-      `seed ${seed}: founded`,
+      `seed ${seed}: bootstrapped`,
     );
     const replaced = seeds.find((address) => core.leader()?.address !== address) ?? 'a:1';
-    const formerIdentity = core.at(replaced).replica.identity;
+    const earlierIdentity = core.at(replaced).replica.identity;
     core.stop(replaced);
     core.playFor(second);
     core.startEmpty(replaced);
@@ -98,48 +107,50 @@
       core.playUntil(() => isSettledOn(core, seeds), 5 * second),
       `seed ${seed}: replaced`,
     );
-    const leading = core.leader();
-    if (leading === undefined) continue;
-    const voters = votersOf(leading.replica);
+    const leader = core.leader();
+    if (leader === undefined) continue;
+    const voters = votersOf(leader.replica);
     for (const address of seeds)
-      core.deliver('c1', address, { type: 'join', identity: formerIdentity, address: replaced });
-    for (let beat = 0; beat < 40; beat += 1) {
+      core.deliver('c1', address, { type: 'join', identity: earlierIdentity, address: replaced });
+    for (let repetition = 0; repetition < 40; repetition += 1) {
       core.playFor(second / 10);
-      assert.equal(votersOf(core.leader()?.replica ?? leading.replica), voters, `seed ${seed}`);
+      assert.equal(votersOf(core.leader()?.replica ?? leader.replica), voters, `seed ${seed}`);
     }
     assert.equal(core.broken(), [], `seed ${seed}`);
   }
 });
 
-test('an address counts as answered only by the newest question, in time, with the identity that joined', () => {
+test('a join is confirmed only by a reply to the last identify message, in time, with the identity of the join', () => {
   const members = [member('a', 'a:1', true), member('b', 'b:1', true), member('c1', 'c:1', true)];
   const leader: Replica = {
-    ...startReplica('a', 'a:1', seeds),
+    ...createReplica('a', 'a:1', seeds),
     role: 'leader',
     leader: 'a',
     term: 1,
     entries: [membersAt(1, 1, members)],
     commit: 1,
   };
-  const hear = (replica: Replica, at: number, from: string, message: ControlMessage) =>
+  const receive = (replica: Replica, at: number, from: string, message: ControlMessage) =>
     stepControl(replica, { type: 'message', at, chance: 0, from, message });
-  const asked = hear(leader, 1, 'b', { type: 'join', identity: 'c2', address: 'c:1' });
-  const question = asked.effects[0];
-  assert.ok(question?.type === 'sendTo' && question.address === 'c:1' && question.message.type === 'identify');
-  const { nonce } = question.message;
-  const membersAfter = (at: number, from: string, answeredNonce: string, identity: string, address = 'c:1') =>
-    membersOf(hear(asked.replica, at, from, { type: 'identified', nonce: answeredNonce, identity, address }).replica);
-  assert.equal(membersAfter(2, 'c2', 'other', 'c2'), members, 'another question');
+  const requested = receive(leader, 1, 'b', { type: 'join', identity: 'c2', address: 'c:1' });
+  const effect = requested.effects[0];
+  assert.ok(effect?.type === 'sendTo' && effect.address === 'c:1' && effect.message.type === 'identify');
+  const { nonce } = effect.message;
+  const membersAfter = (at: number, from: string, replyNonce: string, identity: string, address = 'c:1') =>
+    membersOf(
+      receive(requested.replica, at, from, { type: 'identified', nonce: replyNonce, identity, address }).replica,
+    );
+  assert.equal(membersAfter(2, 'c2', 'other', 'c2'), members, 'another nonce');
   assert.equal(membersAfter(2, 'c1', nonce, 'c1'), members, 'another identity');
-  assert.equal(membersAfter(2, 'c1', nonce, 'c2'), members, 'told by another machine');
+  assert.equal(membersAfter(2, 'c1', nonce, 'c2'), members, 'sent by another node');
   assert.equal(membersAfter(2, 'c2', nonce, 'c2', 'd:1'), members, 'another address');
   assert.equal(membersAfter(10 * second, 'c2', nonce, 'c2'), members, 'too late');
-  assert.equal(membersAfter(2, 'c2', nonce, 'c2'), [...members, member('c2', 'c:1', false)], 'a learner beside all');
-  const doubled = hear(asked.replica, 2, 'b', { type: 'join', identity: 'c2', address: 'c:1' });
-  assert.equal(doubled.effects, [], 'a join that comes twice asks once');
+  assert.equal(membersAfter(2, 'c2', nonce, 'c2'), [...members, member('c2', 'c:1', false)], 'admitted as a learner');
+  const repeated = receive(requested.replica, 2, 'b', { type: 'join', identity: 'c2', address: 'c:1' });
+  assert.equal(repeated.effects, [], 'a duplicated join sends no second identify message');
 });
 
-test('a dead voter leaves only for a ready learner, and never with the only copy of what is committed', () => {
+test('a dead voter is removed only if a learner has caught up, and never with the sole second copy of a committed entry', () => {
   const members = [
     member('a', 'a:1', true),
     member('b', 'b:1', true),
@@ -148,8 +159,8 @@
   ];
   const claimEntry: LogEntry = { index: 2, term: 1, command: { type: 'claim', key: 'k', exchange: 'e', atUs: 0 } };
   const at = 5 * second;
-  const bornLeader: Replica = {
-    ...startReplica('a', 'a:1', seeds),
+  const initialLeader: Replica = {
+    ...createReplica('a', 'a:1', seeds),
     role: 'leader',
     leader: 'a',
     term: 1,
@@ -158,42 +169,42 @@
     atUs: at,
   };
   const votersAfter = (matchOfB: number, matchOfD: number): readonly string[] => {
-    const heard = { ...newProgress(bornLeader), heardUs: at };
+    const inContact = { ...initialProgress(initialLeader), heardUs: at };
     const progress = new Map([
-      ['b', { ...heard, match: matchOfB }],
-      ['c', { ...heard, match: 2, heardUs: 0 }],
-      ['d', { ...heard, match: matchOfD }],
+      ['b', { ...inContact, match: matchOfB }],
+      ['c', { ...inContact, match: 2, heardUs: 0 }],
+      ['d', { ...inContact, match: matchOfD }],
     ]);
-    const ticked = stepControl({ ...bornLeader, progress }, { type: 'tick', at, chance: 0 }).replica;
-    return votersOf(ticked).map((voter) => voter.identity);
+    const afterTick = stepControl({ ...initialLeader, progress }, { type: 'tick', at, chance: 0 }).replica;
+    return votersOf(afterTick).map((voter) => voter.identity);
   };
   assert.equal(votersAfter(1, 2), ['a', 'b', 'c'], 'only the dead voter has the second copy');
   assert.equal(votersAfter(2, 1), ['a', 'b', 'c'], 'the learner has not caught up');
-  assert.equal(votersAfter(2, 2), ['a', 'b'], 'both are there');
+  assert.equal(votersAfter(2, 2), ['a', 'b'], 'the follower and the learner have caught up');
 });
 
-test('a founding member wiped before the founding does not block it, and no second core comes of it', () => {
+test('a seed wiped before the bootstrap does not block it, and no second core is bootstrapped', () => {
   for (let seed = 1; seed <= 300; seed += 1) {
-    const core = openPureCore(seed, seeds, 3, seed % 2 === 0 ? 0.2 : 0);
+    const core = openSimulatedCore(seed, seeds, 3, seed % 2 === 0 ? 0.2 : 0);
     const wiped = seeds[seed % 3] ?? 'a:1';
-    core.lose(0.6);
+    core.setLossShare(0.6);
     if (seed % 5 === 0) core.stop(wiped);
     core.playFor(Math.floor(core.chance() * 1.2 * second));
     core.stop(wiped);
     core.playFor(Math.floor(core.chance() * second));
     core.startEmpty(wiped);
     core.playFor(Math.floor(core.chance() * second));
-    core.lose(0);
+    core.setLossShare(0);
     assert.ok(
       core.playUntil(() => isSettledOn(core, seeds), 12 * second),
-      `seed ${seed}: not founded`,
+      `seed ${seed}: not bootstrapped`,
     );
     assert.equal(core.broken(), [], `seed ${seed}`);
   }
 });
 
-test('one machine that may found does not found a core alone with two that may not', () => {
-  const core = openPureCore(7, seeds, 3);
+test('one seed that may bootstrap does not bootstrap a core with two that may not', () => {
+  const core = openSimulatedCore(7, seeds, 3);
   ['b:1', 'c:1'].forEach(core.stop);
   core.playFor(second);
   ['b:1', 'c:1'].forEach(core.startEmpty);
--- a/tests/control/message-codec.test.ts
+++ b/tests/control/message-codec.test.ts
@@ -20,7 +20,7 @@
   { type: 'identified', nonce: '3.7', identity: 'a', address: 'a:1' },
 ];
 
-test('messages of joining and founding pass the guard whole, and none of them with a field missing or empty', () => {
+test('bootstrap and join messages pass the guard unchanged, and fail it with a missing or empty field', () => {
   for (const message of messages) {
     const plain: unknown = JSON.parse(JSON.stringify(message));
     assert.ok(isPlainMessage(plain), message.type);
--- a/tests/control/operator.test.ts
+++ b/tests/control/operator.test.ts
@@ -12,7 +12,7 @@
 import { sampleSetup } from '../../src/sim/sample-setup.js';
 import { inMemoryCore } from '../router/loopback.js';
 
-type Told = { readonly status: number; readonly etag: unknown; readonly text: string };
+type Response = { readonly status: number; readonly etag: unknown; readonly text: string };
 
 const withOperator = async (
   core: CoreClient,
@@ -22,7 +22,7 @@
       path: string,
       body?: unknown,
       headers?: Readonly<Record<string, string>>,
-    ) => Promise<Told>,
+    ) => Promise<Response>,
   ) => Promise<void>,
 ): Promise<void> => {
   const [port] = await freePorts(1);
@@ -34,12 +34,12 @@
   await http.listen();
   try {
     await use(async (method, path, body, headers = {}) => {
-      const receipt = await request(`http://127.0.0.1:${port}${path}`, {
+      const response = await request(`http://127.0.0.1:${port}${path}`, {
         method,
         headers: { ...headers, connection: 'close' },
         body: body === undefined ? undefined : typeof body === 'string' ? body : JSON.stringify(body),
       });
-      return { status: receipt.statusCode, etag: receipt.headers['etag'], text: await receipt.body.text() };
+      return { status: response.statusCode, etag: response.headers['etag'], text: await response.body.text() };
     });
   } finally {
     await http.close();
@@ -48,15 +48,21 @@
 
 const operator = suite('operator');
 
-operator('a put is taken once on its revision, a second one on the same has lost the race', () =>
+operator('a put is committed on its expected revision, a second one on the same revision is a conflict', () =>
   withOperator(inMemoryCore(), async (call) => {
-    const newest = await call('GET', '/operator/setup');
-    assert.equal([newest.status, newest.etag], [200, '"1"']);
-    const taken = await call('PUT', '/operator/setup', sampleSetup('two'), { 'if-match': '"1"', 'proposal-id': 'p2' });
-    assert.equal([taken.status, taken.etag], [200, '"2"']);
-    const lost = await call('PUT', '/operator/setup', sampleSetup('three'), { 'if-match': '"1"', 'proposal-id': 'p3' });
-    assert.is(lost.status, 409);
-    assert.match(lost.text, '"newest":2');
+    const current = await call('GET', '/operator/setup');
+    assert.equal([current.status, current.etag], [200, '"1"']);
+    const committed = await call('PUT', '/operator/setup', sampleSetup('two'), {
+      'if-match': '"1"',
+      'proposal-id': 'p2',
+    });
+    assert.equal([committed.status, committed.etag], [200, '"2"']);
+    const conflict = await call('PUT', '/operator/setup', sampleSetup('three'), {
+      'if-match': '"1"',
+      'proposal-id': 'p3',
+    });
+    assert.is(conflict.status, 409);
+    assert.match(conflict.text, '"newest":2');
     assert.match((await call('GET', '/operator/setup')).text, '"name":"two"');
     assert.is((await call('GET', '/operator/proposals/p2')).status, 200);
     assert.is((await call('GET', '/operator/proposals/p3')).status, 409);
@@ -64,13 +70,13 @@
   }),
 );
 
-operator('what does not hold is listed by path and never proposed', () =>
+operator('an invalid setup is refused with the paths of its errors, and never proposed', () =>
   withOperator(inMemoryCore(), async (call) => {
-    const whole = sampleSetup('bad');
+    const valid = sampleSetup('bad');
     const invalid = await call('PUT', '/operator/setup', {
-      ...whole,
+      ...valid,
       tiers: undefined,
-      warmup: { ...whole.warmup, vnodes: 0 },
+      warmup: { ...valid.warmup, vnodes: 0 },
     });
     assert.is(invalid.status, 422);
     for (const path of ['"path":"tiers"', '"path":"warmup.vnodes"']) assert.match(invalid.text, path);
@@ -82,16 +88,16 @@
   }),
 );
 
-operator('a proposal without a last word is unknown, never refused, and withdrawing it decides it', async () => {
+operator('a proposal without a final reply is unknown, never refused, and its withdrawal decides it', async () => {
   const core = inMemoryCore();
   let isSilent = true;
-  const silent: CoreClient = {
-    ask: (question, budgetUs) =>
-      isSilent && question.type === 'propose'
+  const silentCore: CoreClient = {
+    ask: (coreRequest, budgetUs) =>
+      isSilent && coreRequest.type === 'propose'
         ? Promise.resolve(Left(typedError('undecided', 'silent')))
-        : core.ask(question, budgetUs),
+        : core.ask(coreRequest, budgetUs),
   };
-  await withOperator(silent, async (call) => {
+  await withOperator(silentCore, async (call) => {
     const unknown = await call('PUT', '/operator/setup', sampleSetup('two'), {
       'if-match': '"1"',
       'proposal-id': 'p2',
@@ -108,7 +114,7 @@
   });
 });
 
-operator('every call ends within the second that callers wait, and a large document gets some more', async () => {
+operator('every call ends within the second that clients wait, and a large document gets more time', async () => {
   const budgets: number[] = [];
   const core: CoreClient = {
     ask: (_question, budgetUs) => {
@@ -130,7 +136,7 @@
   assert.ok(largeBudgetUs > 1_000_000 && largeBudgetUs <= 3_000_000, `${largeBudgetUs} us`);
 });
 
-operator('an outcome that may be forgotten is unknown, never a conflict', async () => {
+operator('a forgotten outcome is reported as unknown, never as a conflict', async () => {
   const core: CoreClient = {
     ask: () =>
       Promise.resolve(
@@ -138,9 +144,12 @@
       ),
   };
   await withOperator(core, async (call) => {
-    const told = await call('PUT', '/operator/setup', sampleSetup('two'), { 'if-match': '"1"', 'proposal-id': 'p2' });
-    assert.is(told.status, 202);
-    assert.match(told.text, '"outcome":"unknown"');
+    const response = await call('PUT', '/operator/setup', sampleSetup('two'), {
+      'if-match': '"1"',
+      'proposal-id': 'p2',
+    });
+    assert.is(response.status, 202);
+    assert.match(response.text, '"outcome":"unknown"');
   });
 });
 
--- a/tests/control/original.test.ts
+++ b/tests/control/original.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import type { Command } from '../../src/control/log/command.js';
 import { applyCommand } from '../../src/control/state/apply.js';
-import { startReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
+import { emptyReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
 import { isCommand } from '../../src/control/wire/command-guard.js';
 import { decodeDurableRecords, encodeDurableRecords } from '../../src/control/wire/durable-record-codec.js';
 import { isSetupRecord } from '../../src/setup/check/setup-guard.js';
@@ -19,7 +19,7 @@
   atUs: 1,
 });
 
-const played = (puts: readonly Put[]): { readonly state: ReplicatedState; readonly outcomes: readonly string[] } =>
+const applyPuts = (puts: readonly Put[]): { readonly state: ReplicatedState; readonly outcomes: readonly string[] } =>
   puts.reduce<{ readonly state: ReplicatedState; readonly outcomes: readonly string[] }>(
     ({ state, outcomes }, put) => {
       const applied = applyCommand(state, commandOf(put));
@@ -31,12 +31,12 @@
         ],
       };
     },
-    { state: startReplicatedState, outcomes: [] },
+    { state: emptyReplicatedState, outcomes: [] },
   );
 
-test('the version decides: it builds on the one in force and rises', () => {
+test('a document is committed if its expected version is the current one and its own version is higher', () => {
   assert.equal(
-    played([
+    applyPuts([
       { version: 3, expected: 0 },
       { version: 7, expected: 3 },
       { version: 9, expected: 3 },
@@ -44,21 +44,21 @@
     ['committed', 'committed', 'conflict'],
   );
   assert.equal(
-    played([
+    applyPuts([
       { version: 3, expected: 1 },
       { version: 3, expected: 0 },
     ]).outcomes,
     ['conflict', 'committed'],
   );
   assert.equal(
-    played([
+    applyPuts([
       { version: 3, expected: 0 },
       { version: 3, expected: 3, text: 'other' },
     ]).outcomes,
     ['committed', 'conflict'],
   );
   assert.equal(
-    played([
+    applyPuts([
       { version: 3, expected: 0 },
       { version: 2, expected: 3 },
     ]).outcomes,
@@ -66,8 +66,8 @@
   );
 });
 
-test('the same document is taken again, in force or before, and is no second revision', () => {
-  const { state, outcomes } = played([
+test('a repeated document is acknowledged, current or not, without a new revision', () => {
+  const { state, outcomes } = applyPuts([
     { version: 3, expected: 0 },
     { version: 3, expected: 99 },
     { version: 7, expected: 3 },
@@ -78,8 +78,8 @@
   assert.is(state.record?.original?.version, 7);
 });
 
-test('a lost race does not stand against the same document later', () => {
-  const { state, outcomes } = played([
+test('a document that was a conflict can be committed later', () => {
+  const { state, outcomes } = applyPuts([
     { version: 3, expected: 0 },
     { version: 9, expected: 0 },
     { version: 7, expected: 3 },
@@ -89,11 +89,11 @@
   assert.is(state.record?.original?.text, 'document 9');
 });
 
-test('a large document goes whole through guards, disk and snapshot', () => {
+test('a large document passes guards, disk and snapshot unchanged', () => {
   const text = `{"ver":3,"more":"${'é'.repeat(2 << 20)}"}`;
   const command = commandOf({ version: 3, expected: 0, text });
   assert.ok(isCommand(command));
-  const { state } = played([{ version: 3, expected: 0, text }]);
+  const { state } = applyPuts([{ version: 3, expected: 0, text }]);
   assert.ok(isSetupRecord(state.record));
   const snapshot = { index: 1, term: 1, members: [], state };
   const [record, entries] = decodeDurableRecords(
@@ -103,8 +103,8 @@
     ]),
   ).unsafeCoerce();
   assert.is(record?.type === 'snapshot' ? record.snapshot.state.record?.original?.text : undefined, text);
-  const kept = entries?.type === 'entries' ? entries.entries[0]?.command : undefined;
-  assert.is(kept?.type === 'setup' ? kept.original?.text : undefined, text);
+  const persisted = entries?.type === 'entries' ? entries.entries[0]?.command : undefined;
+  assert.is(persisted?.type === 'setup' ? persisted.original?.text : undefined, text);
   assert.not.ok(isCommand({ ...command, original: { version: 3 } }));
 });
 
--- a/tests/decision/bookings.test.ts
+++ b/tests/decision/bookings.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { bookingsOf } from '../../src/decision/topology/bookings.js';
 import { applyCommand } from '../../src/control/state/apply.js';
-import { startReplicatedState } from '../../src/control/state/replicated-state.js';
+import { emptyReplicatedState } from '../../src/control/state/replicated-state.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
 import { initialServersAt, recordOf, second, serverOf, setup, warmup } from './fixtures.js';
 
@@ -77,7 +77,7 @@
 test('many changes of the warm-up settings leave a pending booking as it was', () => {
   const servers = [...initialServersAt(4, 0), serverOf('n1', 100 * second)];
   const warmupAfter = (index: number) => ({ ...warmup, boundUs: (60 + index) * second, paceUs: 5 * second });
-  let state = applyCommand(startReplicatedState, { type: 'setup', proposal: 'p0', expected: 0, setup, atUs: 0 }).state;
+  let state = applyCommand(emptyReplicatedState, { type: 'setup', proposal: 'p0', expected: 0, setup, atUs: 0 }).state;
   for (let index = 1; index <= 20; index += 1)
     state = applyCommand(state, {
       type: 'setup',
--- a/tests/model/bounded-search.ts
+++ b/tests/model/bounded-search.ts
@@ -110,7 +110,7 @@
     ...(!isLeader && budget.elections > 0
       ? [
           {
-            cluster: wake(cluster, place, replica.electionUs),
+            cluster: wake(cluster, place, replica.electionDeadlineUs),
             budget: spend(budget, 'elections'),
             what: `${name} times out`,
           },
@@ -119,7 +119,7 @@
     ...(isLeader && budget.heartbeats > 0
       ? [
           {
-            cluster: wake(cluster, place, replica.heartbeatUs),
+            cluster: wake(cluster, place, replica.nextHeartbeatUs),
             budget: spend(budget, 'heartbeats'),
             what: `${name} sends heartbeats`,
           },
--- a/tests/model/cluster.ts
+++ b/tests/model/cluster.ts
@@ -5,9 +5,9 @@
 import type { ControlEvent } from '../../src/control/machine/control-event.js';
 import type { ControlStep } from '../../src/control/machine/control-step.js';
 import { checkLogShape } from '../../src/control/machine/invariants.js';
-import { lastIndexOf, lastTermOf, membersOf } from '../../src/control/machine/log-reading.js';
+import { lastIndexOf, lastTermOf, membersOf } from '../../src/control/machine/log-queries.js';
 import type { ControlMessage } from '../../src/control/machine/message.js';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
 import { stepControl } from '../../src/control/machine/step.js';
 import { recoverReplica, snapshotRecordsOf } from '../../src/control/persistence/recovery.js';
 import { messageOf } from '../../src/common/typed-error.js';
@@ -58,7 +58,7 @@
 export const addressOf = (name: string, move = 0): string => (move === 0 ? `${name}:1` : `${name}:${move + 1}`);
 
 const freshReplicaOf = (cluster: Pick<Cluster, 'seeds' | 'votersWanted'>, machine: Machine): Replica =>
-  startReplica(machine.identity, machine.address, cluster.seeds, true, cluster.votersWanted);
+  createReplica(machine.identity, machine.address, cluster.seeds, true, cluster.votersWanted);
 
 const identityRecord = (identity: string): DurableRecord => ({ type: 'identity', identity, founds: true });
 
--- a/tests/model/convergence.ts
+++ b/tests/model/convergence.ts
@@ -1,4 +1,4 @@
-import { membersOf, votersOf } from '../../src/control/machine/log-reading.js';
+import { membersOf, votersOf } from '../../src/control/machine/log-queries.js';
 import type { Replica } from '../../src/control/machine/replica.js';
 import { broke, hear, leaderPlace, playFor, start, type Cluster } from './cluster.js';
 
@@ -16,7 +16,7 @@
   if (leader === undefined) return false;
   const members = membersOf(leader);
   const replicas = liveReplicas(cluster);
-  const wantedVoters = Math.min(replicas.length, leader.votersWanted);
+  const wantedVoters = Math.min(replicas.length, leader.targetVoterCount);
   return (
     votersOf(leader).filter((voter) => replicas.some(({ identity }) => identity === voter.identity)).length >=
       wantedVoters &&
--- a/tests/model/directed.ts
+++ b/tests/model/directed.ts
@@ -1,4 +1,4 @@
-import { membersOf } from '../../src/control/machine/log-reading.js';
+import { membersOf } from '../../src/control/machine/log-queries.js';
 import {
   deliver,
   deliverExcept,
--- a/tests/model/history.ts
+++ b/tests/model/history.ts
@@ -1,10 +1,10 @@
 import type { LogEntry } from '../../src/control/log/log-entry.js';
-import { entryAt, lastIndexOf, membersOf, termAt } from '../../src/control/machine/log-reading.js';
+import { entryAt, lastIndexOf, membersOf, termAt } from '../../src/control/machine/log-queries.js';
 import type { Replica } from '../../src/control/machine/replica.js';
 import type { Member } from '../../src/control/members/member.js';
 import { applyCommand } from '../../src/control/state/apply.js';
 import { stateDigestOf } from '../../src/control/state/state-digest.js';
-import { startReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
+import { emptyReplicatedState, type ReplicatedState } from '../../src/control/state/replicated-state.js';
 
 /** What no replica alone can see: who led, which entries there were, what was committed and what it came to. */
 export type History = {
@@ -21,7 +21,7 @@
   entries: new Map(),
   committed: [],
   stateDigests: [],
-  state: startReplicatedState,
+  state: emptyReplicatedState,
 };
 
 /** A history, and the rules that were broken on the way to it. */
--- a/tests/model/loss-rule.ts
+++ b/tests/model/loss-rule.ts
@@ -1,4 +1,4 @@
-import { lastIndexOf } from '../../src/control/machine/log-reading.js';
+import { lastIndexOf } from '../../src/control/machine/log-queries.js';
 import type { Replica } from '../../src/control/machine/replica.js';
 import type { Member } from '../../src/control/members/member.js';
 import { recovered, type Cluster } from './cluster.js';
--- a/tests/model/random-walk.ts
+++ b/tests/model/random-walk.ts
@@ -1,6 +1,6 @@
 import type { Micros } from '../../src/common/micros.js';
 import type { Command } from '../../src/control/log/command.js';
-import { membersOf } from '../../src/control/machine/log-reading.js';
+import { membersOf } from '../../src/control/machine/log-queries.js';
 import { heartbeatsOf } from '../../src/control/machine/replication.js';
 import {
   chanceOf,
--- a/tests/platform/raw/open-edge.ts
+++ b/tests/platform/raw/open-edge.ts
@@ -8,7 +8,7 @@
 import { steadyNow } from '../../../src/common/micros.js';
 import type { CoreReply } from '../../../src/control/machine/core-reply.js';
 import { applyCommand } from '../../../src/control/state/apply.js';
-import { startReplicatedState } from '../../../src/control/state/replicated-state.js';
+import { emptyReplicatedState } from '../../../src/control/state/replicated-state.js';
 import type { CoreClient } from '../../../src/process/core-client.js';
 import type { Log } from '../../../src/process/log.js';
 import { openRouterNode, type RouterNode } from '../../../src/process/router/router-node.js';
@@ -123,7 +123,7 @@
 /** A core that gives the same configuration to everyone. */
 export const coreWith = (document: unknown): CoreClient => {
   const { setup } = setupOfDocument(document, retryLimits).unsafeCoerce();
-  const { state } = applyCommand(startReplicatedState, { type: 'setup', proposal: 'p', expected: 0, setup, atUs: 0 });
+  const { state } = applyCommand(emptyReplicatedState, { type: 'setup', proposal: 'p', expected: 0, setup, atUs: 0 });
   return { ask: () => Promise.resolve(Right<CoreReply>({ type: 'record', record: state.record, outcome: undefined })) };
 };
 
--- a/tests/quota/quota-store.test.ts
+++ b/tests/quota/quota-store.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { startReplica, type Replica } from '../../src/control/machine/replica.js';
+import { createReplica, type Replica } from '../../src/control/machine/replica.js';
 import { grantLeaseUs, mayGrant } from '../../src/process/control/quota-store-task.js';
 import { fleetBucketLimitsOf } from '../../src/quota/bucket-share.js';
 import type { QuotaReply } from '../../src/quota/quota-messages.js';
@@ -81,10 +81,10 @@
 test('only a leader, or a voter with leader contact within the lease, may grant', () => {
   const member = { identity: 'me', address: 'a:1', voter: true };
   const replica: Replica = {
-    ...startReplica('me', 'a:1', []),
+    ...createReplica('me', 'a:1', []),
     role: 'follower',
     leaderContactUs: 5 * second,
-    snapshot: { ...startReplica('me', 'a:1', []).snapshot, members: [member] },
+    snapshot: { ...createReplica('me', 'a:1', []).snapshot, members: [member] },
   };
   assert.ok(mayGrant(replica, 5 * second + grantLeaseUs - 1));
   assert.not.ok(mayGrant(replica, 5 * second + grantLeaseUs));
--- a/tests/router/loopback.ts
+++ b/tests/router/loopback.ts
@@ -2,8 +2,8 @@
 import { request } from 'undici';
 import type { CoreReply } from '../../src/control/machine/core-reply.js';
 import { applyCommand } from '../../src/control/state/apply.js';
-import { findProposalOutcome } from '../../src/control/state/configuration-orders.js';
-import { startReplicatedState } from '../../src/control/state/replicated-state.js';
+import { findProposalOutcome } from '../../src/control/state/setup-proposals.js';
+import { emptyReplicatedState } from '../../src/control/state/replicated-state.js';
 import type { CoreClient } from '../../src/process/core-client.js';
 import { openRouterNode, type RouterNode } from '../../src/process/router/router-node.js';
 import { serveRouter } from '../../src/process/router/serve-router.js';
@@ -43,7 +43,7 @@
 
 /** A core that applies every command immediately. */
 export const inMemoryCore = (): CoreClient => {
-  let state = applyCommand(startReplicatedState, {
+  let state = applyCommand(emptyReplicatedState, {
     type: 'setup',
     proposal: 'p',
     expected: 0,
--- a/tests/sim/catch-up-disk.test.ts
+++ b/tests/sim/catch-up-disk.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Micros } from '../../src/common/micros.js';
-import { maxLogEntries } from '../../src/control/machine/timing.js';
+import { maxLogEntries } from '../../src/control/machine/parameters.js';
 import { openCoreFleet, type AskedCore } from '../../src/sim/core/core-fleet.js';
 import { usualDiskUs, type SimControl } from '../../src/sim/core/sim-control.js';
 
--- a/tests/sim/core-members.test.ts
+++ b/tests/sim/core-members.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { votersOf } from '../../src/control/machine/log-reading.js';
+import { votersOf } from '../../src/control/machine/log-queries.js';
 import { openCoreFleet, type AskedCore } from '../../src/sim/core/core-fleet.js';
 import { simOperatorService } from '../../src/sim/core/sim-operator-service.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
