--- a/src/experiment/emulated-routers.ts
+++ b/src/experiment/emulated-routers.ts
@@ -5,8 +5,8 @@
 import type { DecisionPolicy } from '../decision/policy.js';
 import { openCounters, type Counters } from '../process/counters.js';
 import { openRouterTask, type RouterTask } from '../process/router/router-task.js';
-import type { SpreadTaskEvents } from '../process/spread-task-events.js';
-import type { SpreadTask } from '../process/spread-task.js';
+import type { GossipTaskEvents } from '../process/gossip-task-events.js';
+import type { GossipTask } from '../process/gossip-task.js';
 import type { ServerList } from '../servers/list/server-list.js';
 import { serverKeyOf } from '../servers/list/server-key.js';
 import type { SetupRecord } from '../setup/document/setup-record.js';
@@ -57,7 +57,7 @@
   const { world, servers, record, list, policy, delayUsBetween } = plan;
   const partners = Array.from({ length: plan.count }, (_, place) => partnerOf(place, plan.localityOf(place)));
   const serversByKey = new Map(servers.map((server) => [serverKeyOf(server.listed), server]));
-  const emitters = new Map(partners.map(({ address }) => [address, new EventEmitter<SpreadTaskEvents>()]));
+  const emitters = new Map(partners.map(({ address }) => [address, new EventEmitter<GossipTaskEvents>()]));
   const localities = new Map(partners.map(({ address, locality }) => [address, locality]));
 
   const viewOf = (self: Peer): GossipView => {
@@ -70,10 +70,10 @@
     return { ...start, partners: known, routers: partners.length };
   };
 
-  const spreadOf = (self: Peer): SpreadTask => {
+  const spreadOf = (self: Peer): GossipTask => {
     const view = viewOf(self);
     return {
-      events: emitters.get(self.address) ?? new EventEmitter<SpreadTaskEvents>(),
+      events: emitters.get(self.address) ?? new EventEmitter<GossipTaskEvents>(),
       view: () => view,
       platformUs: () => list.atUs + world.now(),
       start: () => Promise.resolve(),
--- a/src/process/control/control-task.ts
+++ b/src/process/control/control-task.ts
@@ -14,7 +14,7 @@
 import type { Log } from '../log.js';
 import { openMailbox } from '../mailbox.js';
 import type { ControlSettings } from '../settings/control-settings.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 import type { Surroundings } from '../surroundings/surroundings.js';
 import { openDurableWriter } from './durable-writer.js';
 import { openEffectRunner } from './effect-runner.js';
@@ -24,10 +24,11 @@
 import { openStallHeartbeats } from './stall-heartbeats.js';
 import { stepBatch } from './step-batch.js';
 
-/** The task that owns the control machine and its disk. */
+/** Owns the control state machine (a Raft replica) and its disk. */
 export type ControlTask = {
   readonly replica: () => Replica;
   readonly start: () => void;
+  /** Asks the state machine to transfer leadership; resolves when the transfer has ended or timed out. */
   readonly resign: () => Promise<void>;
   readonly close: () => Promise<void>;
 };
@@ -46,10 +47,10 @@
     openReplica(ring, settings, freshName).map((replica) => ({ ring, replica })),
   );
 
-/** Runs the machine on its open disk. */
+/** Runs the control state machine on a recovered replica. */
 const runControlTask = (
   { ring, replica: openedReplica }: Opened,
-  spread: SpreadTask,
+  spread: GossipTask,
   log: Log,
   counters: Counters,
   { clock, chance, freshName }: TaskSurroundings,
@@ -58,14 +59,14 @@
   let replica = openedReplica;
   let syncedReplica = openedReplica;
   let hasBrokenInvariant = false;
-  let endTicks = (): void => undefined;
+  let stopTicks = (): void => undefined;
   const runner = openEffectRunner(() => replica, spread, log, counters);
   const snapshotRecords = () => snapshotRecordsOf(replica);
   const writer = openDurableWriter({ ring, snapshotRecords, clock, log, counters, fail });
   const stallHeartbeats = openStallHeartbeats(writer);
   const restoreProposal = openRestoreProposal();
 
-  /** Nothing of a batch that broke an invariant is persisted or sent: the process ends, and recovers from its disk. */
+  /** Nothing of a batch that broke an invariant is persisted or sent: the process exits and recovers from its disk. */
   const endOnBrokenInvariant = (error: TypedError): void => {
     hasBrokenInvariant = true;
     counters.count('control.brokenInvariants');
@@ -73,8 +74,8 @@
     fail(error);
   };
 
-  /** Nothing is said before all that it rests on is synced. */
-  const takeStep = async (step: ControlStep): Promise<void> => {
+  /** Runs the effects of a step only after its records are synced to disk. */
+  const applyStep = async (step: ControlStep): Promise<void> => {
     replica = step.replica;
     const records = step.effects.flatMap((effect) => (effect.type === 'persist' ? [effect.record] : []));
     if (!(await writer.persist(records))) return;
@@ -86,12 +87,12 @@
     if (hasBrokenInvariant || writer.hasFailed()) return;
     await stepBatch(replica, events).caseOf<Promise<void>>({
       Left: (error) => Promise.resolve(endOnBrokenInvariant(error)),
-      Right: takeStep,
+      Right: applyStep,
     });
   });
 
-  /** What is not led asks wherever core machines are known to be, also when all its seeds are stale. */
-  const knownEvents = (): readonly ControlEvent[] => {
+  /** Without a leader, all known addresses of control nodes are tried, so that a node finds the core even if its seeds are stale. */
+  const discoveryEvents = (): readonly ControlEvent[] => {
     if (replica.leader !== undefined) return [];
     const { seeds, partners } = spread.view();
     const addresses = [...partners.values()].flatMap(({ partner }) =>
@@ -100,6 +101,7 @@
     return [{ type: 'known', at: clock.now(), seeds, addresses: [...addresses, ...runner.knownAddresses()] }];
   };
 
+  /** Proposes the newest setup known through gossip, if the core's is older. */
   const restore = (): void => {
     const command = restoreProposal(replica, spread.view().record, clock.now());
     if (command !== undefined) mailbox.post({ type: 'propose', at: clock.now(), requestId: freshName(), command });
@@ -107,19 +109,19 @@
 
   const tick = (): void => {
     const nowUs = clock.now();
-    [...knownEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);
+    [...discoveryEvents(), { type: 'tick' as const, at: nowUs, chance: chance() }].forEach(mailbox.post);
     restore();
     stallHeartbeats(syncedReplica, nowUs).forEach(runner.run);
   };
 
   spread.events.on('control', (from, { identity, to, message }) => {
-    runner.noteMachine(identity, from);
+    runner.recordNodeAddress(identity, from);
     if (to !== undefined && to !== replica.identity) return;
     mailbox.post({ type: 'message', at: clock.now(), chance: chance(), from: identity, message });
   });
   spread.events.on('request', (from, { requestId, request }) => {
     restore();
-    runner.noteRequester(requestId, from);
+    runner.recordRequester(requestId, from);
     mailbox.post(
       request.type === 'read'
         ? { type: 'read', at: clock.now(), requestId, proposal: request.proposal }
@@ -135,17 +137,17 @@
   return {
     replica: () => replica,
     start: () => {
-      endTicks = every(clock, tickUs, tick);
+      stopTicks = every(clock, tickUs, tick);
     },
     resign: async () => {
       writer.end();
-      const giveUpUs = clock.now() + transferTimeoutUs;
+      const deadlineUs = clock.now() + transferTimeoutUs;
       mailbox.post({ type: 'resign', at: clock.now(), chance: chance() });
       await mailbox.idle();
-      while (replica.transferDeadlineUs !== undefined && clock.now() < giveUpUs) await paused(clock, tickUs);
+      while (replica.transferDeadlineUs !== undefined && clock.now() < deadlineUs) await paused(clock, tickUs);
     },
     close: async () => {
-      endTicks();
+      stopTicks();
       writer.end();
       await mailbox.idle();
       await ring.close();
@@ -154,12 +156,12 @@
 };
 
 /**
- * Opens the disk and the machine on it; a disk that refuses at the start is tried again. `fail` is called once when the
- * disk can no longer be written or a step broke an invariant of the log.
+ * Opens the disk and the replica that is stored on it. A disk that refuses at first is retried; a damaged one is an error.
+ * `fail` is called once when the disk has failed for good or a step broke an invariant of the log.
  */
 export const openControlTask = (
   settings: ControlSettings,
-  spread: SpreadTask,
+  spread: GossipTask,
   log: Log,
   counters: Counters,
   surroundings: TaskSurroundings,
@@ -167,6 +169,7 @@
 ): EitherAsync<TypedError, ControlTask> =>
   openWithRetry(() => openDisk(settings, surroundings), surroundings.clock, log).map((opened) => {
     const { interrupted } = opened.ring.recovered;
-    if (interrupted.length > 0) log.change('interrupted rotation of the disk ring cleared', { files: interrupted });
+    if (interrupted.length > 0)
+      log.change('removed files of an interrupted ring file rotation', { files: interrupted });
     return runControlTask(opened, spread, log, counters, surroundings, fail);
   });
--- a/src/process/control/durable-writer.ts
+++ b/src/process/control/durable-writer.ts
@@ -11,33 +11,33 @@
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
 
-/** Keeps records on the ring, however often the disk refuses them for a while. */
+/** Writes records to the disk ring and retries while the disk refuses writes (for example because it is full). */
 export type DurableWriter = {
-  /** Whether all records are synced now; false once the disk has failed or the writer ends. */
+  /** Resolves to true once all records are synced, to false if the disk has failed or the writer has ended. */
   readonly persist: (records: readonly DurableRecord[]) => Promise<boolean>;
-  /** Whether the disk refuses writes at the moment. */
+  /** Whether the last write was refused and is being retried. */
   readonly refuses: () => boolean;
-  /** For how long the present sync has run; undefined while none runs. */
+  /** The duration of the write in progress; undefined while there is none. */
   readonly stalledUs: () => Micros | undefined;
   readonly hasFailed: () => boolean;
-  /** Refused writes are not tried again from now on. */
+  /** Stops retrying refused writes. */
   readonly end: () => void;
 };
 
-export type DurableWriterPlan = {
+export type DurableWriterDependencies = {
   readonly ring: DiskRing;
-  /** All that must stand at the head of the next ring file. */
+  /** The records that a new ring file begins with: a snapshot of the whole replica. */
   readonly snapshotRecords: () => readonly DurableRecord[];
   readonly clock: Clock;
   readonly log: Log;
   readonly counters: Counters;
-  /** Called once when the disk can no longer be written. */
+  /** Called once when the disk has failed for good, unless the writer has ended. */
   readonly fail: (error: TypedError) => void;
 };
 
-const refusedSpanUs: Micros = 200_000;
+const retryIntervalUs: Micros = 200_000;
 
-/** Records are kept together, unless the documents in them are too large for one batch. */
+/** All records in one batch, unless their documents are too large for one: then each record is a batch. */
 const batchesOf = (records: readonly DurableRecord[]): readonly (readonly DurableRecord[])[] => {
   if (records.length === 0) return [];
   const textChars = records
@@ -46,10 +46,10 @@
   return textChars > maxBatchDocumentChars ? records.map((record) => [record]) : [records];
 };
 
-const mayPass = (kept: Either<TypedError, void>): boolean =>
-  kept.caseOf({ Left: (error) => error.type === 'disk-refusal', Right: () => false });
+const isRetryable = (written: Either<TypedError, void>): boolean =>
+  written.caseOf({ Left: (error) => error.type === 'disk-refusal', Right: () => false });
 
-/** Opens the writer of a ring. Until a batch is kept the caller must say nothing that rests on it. */
+/** Opens the writer of a ring. The user must not send any message that depends on a record before that record is synced. */
 export const openDurableWriter = ({
   ring,
   snapshotRecords,
@@ -57,59 +57,59 @@
   log,
   counters,
   fail,
-}: DurableWriterPlan): DurableWriter => {
-  let startedUs: Micros | undefined;
+}: DurableWriterDependencies): DurableWriter => {
+  let writeStartedUs: Micros | undefined;
   let isRefusing = false;
   let isEnding = false;
   let isFailed = false;
-  /** Whether the last append opened a new file, whose snapshot holds all records that are given. */
-  let hasTurned = false;
+  /** Whether the last append opened a new ring file, whose snapshot already contains the remaining records. */
+  let hasRotated = false;
 
-  const appendUntilTaken = async (records: readonly DurableRecord[]): Promise<Either<TypedError, void>> => {
+  const appendWithRetry = async (records: readonly DurableRecord[]): Promise<Either<TypedError, void>> => {
     const append = (): Promise<Either<TypedError, void>> => {
-      hasTurned = false;
+      hasRotated = false;
       return ring.append(encodeDurableRecords(records), () => {
-        hasTurned = true;
+        hasRotated = true;
         return encodeDurableRecords(snapshotRecords());
       });
     };
-    let kept = await append();
-    while (mayPass(kept) && !isEnding) {
+    let written = await append();
+    while (isRetryable(written) && !isEnding) {
       counters.count('disk.refusals');
-      if (!isRefusing) kept.ifLeft((error) => log.change('disk refuses', { error }));
+      if (!isRefusing) written.ifLeft((error) => log.change('disk refuses', { error }));
       isRefusing = true;
-      await paused(clock, refusedSpanUs);
-      kept = await append();
+      await paused(clock, retryIntervalUs);
+      written = await append();
     }
-    return kept;
+    return written;
   };
 
   const persistBatch = async (records: readonly DurableRecord[]): Promise<boolean> => {
     const batchStartedUs = clock.now();
-    startedUs = batchStartedUs;
-    const kept = await appendUntilTaken(records);
+    writeStartedUs = batchStartedUs;
+    const written = await appendWithRetry(records);
     counters.count('disk.syncs');
     counters.count('disk.syncUs', clock.now() - batchStartedUs);
-    startedUs = undefined;
-    if (isRefusing && kept.isRight()) log.change('disk takes writes again', {});
+    writeStartedUs = undefined;
+    if (isRefusing && written.isRight()) log.change('disk accepts writes again', {});
     isRefusing = false;
-    kept.ifLeft((error) => {
+    written.ifLeft((error) => {
       isFailed = true;
       if (!isEnding) fail(error);
     });
-    return kept.isRight();
+    return written.isRight();
   };
 
   return {
     persist: async (records) => {
       for (const batch of batchesOf(records)) {
         if (!(await persistBatch(batch))) return false;
-        if (hasTurned) return true;
+        if (hasRotated) return true;
       }
       return true;
     },
     refuses: () => isRefusing,
-    stalledUs: () => (startedUs === undefined ? undefined : clock.now() - startedUs),
+    stalledUs: () => (writeStartedUs === undefined ? undefined : clock.now() - writeStartedUs),
     hasFailed: () => isFailed,
     end: () => {
       isEnding = true;
--- a/src/process/control/effect-runner.ts
+++ b/src/process/control/effect-runner.ts
@@ -5,23 +5,25 @@
 import type { Replica } from '../../control/machine/replica.js';
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 
-/** Runs the effects of the control machine, and knows the addresses that they need. */
+/** Carries out the effects of the control state machine and resolves the addresses of their receivers. */
 export type EffectRunner = {
   readonly run: (effect: ControlEffect) => void;
-  /** Notes the address from which a machine was heard. */
-  readonly noteMachine: (identity: string, address: string) => void;
-  /** Notes who asked, until the reply. */
-  readonly noteRequester: (requestId: string, address: string) => void;
+  /** Records the address from which a control node has sent a message. */
+  readonly recordNodeAddress: (identity: string, address: string) => void;
+  /** Records the address that a request came from, until its reply is sent. */
+  readonly recordRequester: (requestId: string, address: string) => void;
+  /** The addresses of all control nodes that have sent a message. */
   readonly knownAddresses: () => readonly string[];
 };
 
+/** Beyond this, the oldest request without a reply is dropped. */
 const maxRequesters = 10_000;
 
 export const openEffectRunner = (
   replica: () => Replica,
-  spread: SpreadTask,
+  spread: GossipTask,
   log: Log,
   counters: Counters,
 ): EffectRunner => {
@@ -39,17 +41,19 @@
       message,
     });
 
-  const sendToMachine = (identity: string, message: ControlMessage): void => {
+  const sendToNode = (identity: string, message: ControlMessage): void => {
     const address = addressOf(identity);
     if (address !== undefined) send(address, message, identity);
   };
 
-  const reply = (requestId: string, told: CoreReply): void => {
+  const reply = (requestId: string, unaddressed: CoreReply): void => {
     const address = requesterAddresses.get(requestId);
     requesterAddresses.delete(requestId);
     if (address === undefined) return;
     const addressed =
-      told.type === 'not-leader' && told.leader !== undefined ? { ...told, leader: addressOf(told.leader) } : told;
+      unaddressed.type === 'not-leader' && unaddressed.leader !== undefined
+        ? { ...unaddressed, leader: addressOf(unaddressed.leader) }
+        : unaddressed;
     spread.send(address, { type: 'reply', requestId, reply: addressed });
   };
 
@@ -59,7 +63,7 @@
         case 'persist':
           return;
         case 'send':
-          return sendToMachine(effect.to, effect.message);
+          return sendToNode(effect.to, effect.message);
         case 'sendTo':
           return send(effect.address, effect.message);
         case 'reply':
@@ -76,8 +80,8 @@
           return;
       }
     },
-    noteMachine: (identity, address) => void knownAddresses.set(identity, address),
-    noteRequester: (requestId, address) => {
+    recordNodeAddress: (identity, address) => void knownAddresses.set(identity, address),
+    recordRequester: (requestId, address) => {
       requesterAddresses.set(requestId, address);
       if (requesterAddresses.size > maxRequesters)
         requesterAddresses.delete(requesterAddresses.keys().next().value ?? requestId);
--- a/src/process/control/open-replica.ts
+++ b/src/process/control/open-replica.ts
@@ -8,7 +8,7 @@
 import type { DiskRing } from '../../disk/disk-ring.js';
 import type { ControlSettings } from '../settings/control-settings.js';
 
-const freshReplicaOf = (settings: ControlSettings, freshName: () => string): Replica =>
+const newReplicaOf = (settings: ControlSettings, freshName: () => string): Replica =>
   createReplica(
     `${settings.node}-${freshName()}`,
     settings.partners,
@@ -25,18 +25,18 @@
 ): Promise<Either<TypedError, Replica>> => {
   const { snapshot, records } = ring.recovered;
   const recovered = [...(snapshot === undefined ? [] : [snapshot]), ...records];
-  const freshReplica = freshReplicaOf(settings, freshName);
+  const newReplica = newReplicaOf(settings, freshName);
   if (recovered.length > 0)
     return decodeDurableBatches(recovered)
       .chain((decoded) => checkDurableRecords(settings.data, decoded))
-      .map((decoded) => recoverReplica(freshReplica, decoded));
-  const kept = await ring.append(new Uint8Array(0), () =>
-    encodeDurableRecords([{ type: 'identity', identity: freshReplica.identity, founds: freshReplica.founds }]),
+      .map((decoded) => recoverReplica(newReplica, decoded));
+  const written = await ring.append(new Uint8Array(0), () =>
+    encodeDurableRecords([{ type: 'identity', identity: newReplica.identity, founds: newReplica.founds }]),
   );
-  return kept.map(() => freshReplica);
+  return written.map(() => newReplica);
 };
 
-/** Recovers the replica that a ring holds, or makes one on an empty ring; the ring is closed if neither works. */
+/** Recovers the replica stored in a ring, or creates and stores one if the ring is empty. Closes the ring on failure. */
 export const openReplica = (
   ring: DiskRing,
   settings: ControlSettings,
--- a/src/process/control/open-ring.ts
+++ b/src/process/control/open-ring.ts
@@ -5,13 +5,13 @@
 import type { TypedError } from '../../common/typed-error.js';
 import type { Log } from '../log.js';
 
-/** How long to wait before a disk that refused at the start is opened again. */
-export const reopenUs: Micros = 300_000;
+/** The delay before a disk that refused to open is tried again. */
+export const reopenDelayUs: Micros = 300_000;
 
-/** A disk that is full or stalls when the process starts may be better soon; a damaged one is not. */
-const mayPass = ({ type }: TypedError): boolean => type === 'disk-error' || type === 'disk-refusal';
+/** A full or stalled disk may recover while the process starts; a damaged one does not. */
+const isRetryable = ({ type }: TypedError): boolean => type === 'disk-error' || type === 'disk-refusal';
 
-/** Opens something on the disk, again and again while the disk refuses; damage ends it at once. */
+/** Retries `open` without limit while the disk refuses; any other error is returned at once. */
 export const openWithRetry = <T>(
   open: () => EitherAsync<TypedError, T>,
   clock: Clock,
@@ -19,9 +19,9 @@
   hasRefused = false,
 ): EitherAsync<TypedError, T> =>
   open().chainLeft((error) => {
-    if (!mayPass(error)) return EitherAsync.liftEither(Left(error));
-    if (!hasRefused) log.change('disk refuses at the start', { error });
-    return EitherAsync<TypedError, void>(() => paused(clock, reopenUs)).chain(() =>
+    if (!isRetryable(error)) return EitherAsync.liftEither(Left(error));
+    if (!hasRefused) log.change('disk refuses to open; retrying', { error });
+    return EitherAsync<TypedError, void>(() => paused(clock, reopenDelayUs)).chain(() =>
       openWithRetry(open, clock, log, true),
     );
   });
--- a/src/process/control/quota-store-task.ts
+++ b/src/process/control/quota-store-task.ts
@@ -9,9 +9,9 @@
 import { stepQuotaStore } from '../../quota/store/step-quota-store.js';
 import { refillBucket } from '../../quota/token-bucket.js';
 import type { Counters } from '../counters.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 
-/** What is left of one tenant's bucket at this machine. */
+/** The level of one tenant's token bucket on this node. */
 export type QuotaLevel = {
   readonly tenant: string;
   readonly level: number;
@@ -19,13 +19,13 @@
   readonly ratePerSecond: number;
 };
 
-/** The task that owns a core machine's share of the quota store. */
+/** Owns a control node's share of the quota buckets. */
 export type QuotaStoreTask = {
   readonly levels: () => readonly QuotaLevel[];
 };
 
-export type QuotaStoreTaskParts = {
-  readonly spread: SpreadTask;
+export type QuotaStoreTaskDependencies = {
+  readonly spread: GossipTask;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly replica: () => Replica;
@@ -33,28 +33,29 @@
 };
 
 /**
- * A voter grants while it has heard from its leader within this lease. It is shorter than the silence after which a voter
- * at another address may be replaced, so that a machine that was replaced grants nothing beside its successor.
+ * A voter may grant while its last contact with the leader is within this lease. The lease is shorter than the silence
+ * after which a voter may be replaced by a node at another address, so that a replaced node never grants beside its
+ * successor.
  */
 export const grantLeaseUs: Micros = 1_500_000;
 
-/** Whether a machine may grant: the leader, or a voter within its lease. */
-export const mayGrant = (replica: Replica, nowUs: Micros): boolean =>
+/** Whether a node may grant quota: it is the leader or a voter within its lease, and is not leaving the core. */
+export const canGrant = (replica: Replica, nowUs: Micros): boolean =>
   isVoter(replica, replica.identity) &&
   (replica.role === 'leader' || nowUs - replica.leaderContactUs < grantLeaseUs) &&
   !replica.isLeaving;
 
-/** Answers routers from this machine's share of every bucket; nothing of it is written to disk. */
+/** Answers the quota requests of routers from this node's share of each bucket. The buckets are held in memory only. */
 export const openQuotaStoreTask = ({
   spread,
   clock,
   counters,
   replica,
   tolerance = defaultTolerance,
-}: QuotaStoreTaskParts): QuotaStoreTask => {
+}: QuotaStoreTaskDependencies): QuotaStoreTask => {
   let state = initialQuotaStore(clock.now());
 
-  const take = (event: QuotaStoreEvent): QuotaReply | undefined => {
+  const handle = (event: QuotaStoreEvent): QuotaReply | undefined => {
     const step = stepQuotaStore(state, event);
     state = step.state;
     return step.reply;
@@ -62,13 +63,13 @@
 
   const replyTo = (request: QuotaRequest): QuotaReply => {
     const nowUs = clock.now();
-    if (!mayGrant(replica(), nowUs)) return { type: 'unavailable' };
-    return take({ type: 'request', at: nowUs, request }) ?? { type: 'unavailable' };
+    if (!canGrant(replica(), nowUs)) return { type: 'unavailable' };
+    return handle({ type: 'request', at: nowUs, request }) ?? { type: 'unavailable' };
   };
 
   spread.events.on('setup', ({ setup }) => {
     const shares = replica().targetVoterCount;
-    take({ type: 'configured', at: clock.now(), tenants: setup.tenants ?? [], tolerance, shares });
+    handle({ type: 'configured', at: clock.now(), tenants: setup.tenants ?? [], tolerance, shares });
   });
   spread.events.on('quotaRequest', (from, { ask, request }) => {
     const reply = replyTo(request);
--- a/src/process/control/restore-proposal.ts
+++ b/src/process/control/restore-proposal.ts
@@ -3,11 +3,12 @@
 import type { Replica } from '../../control/machine/replica.js';
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 
-const restoreSpanUs: Micros = 500_000;
+const restoreIntervalUs: Micros = 500_000;
 
 /**
- * Gives a core that founded itself anew what the nodes still hold, before it takes anything else: the command to
- * propose, at most once in a while, where a leader has an older revision than the nodes.
+ * Restores the setup of a core that was bootstrapped anew after it lost its disks. The returned function yields the command
+ * that proposes the newest record known through gossip, if this node leads and its own revision is older; at most once per
+ * interval.
  */
 export const openRestoreProposal = (): ((
   replica: Replica,
@@ -17,7 +18,7 @@
   let proposedUs = Number.NEGATIVE_INFINITY;
   return (replica, record, nowUs) => {
     const isOlder = record !== undefined && record.revision > (replica.state.record?.revision ?? 0);
-    if (replica.role !== 'leader' || !isOlder || nowUs < proposedUs + restoreSpanUs) return undefined;
+    if (replica.role !== 'leader' || !isOlder || nowUs < proposedUs + restoreIntervalUs) return undefined;
     proposedUs = nowUs;
     return { type: 'restore', record };
   };
--- a/src/process/control/stall-heartbeats.ts
+++ b/src/process/control/stall-heartbeats.ts
@@ -6,8 +6,9 @@
 import type { DurableWriter } from './durable-writer.js';
 
 /**
- * The heartbeats of a leader while its disk is busy with one sync. They rest on the replica as it was synced last, and
- * they end when the disk refuses or the sync takes longer than the limit, so that another leader is elected.
+ * Heartbeats that a leader sends while a disk sync is in progress, so that a slow sync does not cost it the leadership. They
+ * are computed from the last synced replica. They stop when the disk refuses writes or the sync exceeds `diskStallLimitUs`,
+ * so that another leader is elected.
  */
 export const openStallHeartbeats = (
   writer: Pick<DurableWriter, 'refuses' | 'stalledUs'>,
--- a/src/process/control/step-batch.ts
+++ b/src/process/control/step-batch.ts
@@ -5,11 +5,11 @@
 import type { Replica } from '../../control/machine/replica.js';
 import { stepControl } from '../../control/machine/step.js';
 
-/** Steps a replica through events that came together; a broken invariant of the log is a typed failure of all of them. */
-export const stepBatch = (start: Replica, events: readonly ControlEvent[]): Either<TypedError, ControlStep> =>
+/** Applies a batch of events to a replica. If one breaks an invariant of the log, the whole batch fails. */
+export const stepBatch = (replica: Replica, events: readonly ControlEvent[]): Either<TypedError, ControlStep> =>
   Either.encase(() =>
-    events.reduce<ControlStep>((reached, event) => {
-      const step = stepControl(reached.replica, event);
-      return { replica: step.replica, effects: [...reached.effects, ...step.effects] };
-    }, stepOf(start)),
+    events.reduce<ControlStep>((last, event) => {
+      const step = stepControl(last.replica, event);
+      return { replica: step.replica, effects: [...last.effects, ...step.effects] };
+    }, stepOf(replica)),
   ).mapLeft((thrown) => typedError('broken-invariant', messageOf(thrown)));
--- a/src/process/http/byte-buffer.ts
+++ b/src/process/http/byte-buffer.ts
@@ -1,40 +1,40 @@
-/** Bytes that come in pieces and are held once. */
+/** Collects chunks in one contiguous buffer. */
 export type ByteBuffer = {
-  readonly put: (piece: Buffer) => void;
+  readonly put: (chunk: Buffer) => void;
   readonly size: () => number;
   readonly bytes: () => Uint8Array;
-  /** Lets go of all that is held. */
+  /** Releases the memory. */
   readonly clear: () => void;
 };
 
-const firstBytes = 1 << 16;
+const initialBytes = 1 << 16;
 
 /**
- * Opens a buffer for as many bytes as are told, or for one that grows up to a bound where nothing is told. A single piece
- * that is the whole is kept as it came.
+ * Opens a buffer for `expectedBytes`, or one that grows up to `maxBytes` if the length is unknown. A single chunk that is the whole
+ * content is not copied.
  */
-export const openByteBuffer = (toldBytes: number | undefined, mostBytes: number): ByteBuffer => {
+export const openByteBuffer = (expectedBytes: number | undefined, maxBytes: number): ByteBuffer => {
   let held: Buffer = Buffer.alloc(0);
   let size = 0;
 
-  /** Makes room for more; what was never written of a new buffer takes no memory. */
+  /** Allocated without initialisation, so that the operating system backs only the pages that are written. */
   const grow = (neededBytes: number): void => {
-    const capacity = toldBytes ?? Math.min(mostBytes, Math.max(firstBytes, held.length * 2, neededBytes));
+    const capacity = expectedBytes ?? Math.min(maxBytes, Math.max(initialBytes, held.length * 2, neededBytes));
     const larger = Buffer.allocUnsafeSlow(Math.max(capacity, neededBytes));
     held.copy(larger, 0, 0, size);
     held = larger;
   };
 
   return {
-    put: (piece) => {
-      if (size === 0 && (toldBytes === undefined || toldBytes === piece.length)) {
-        held = piece;
-        size = piece.length;
+    put: (chunk) => {
+      if (size === 0 && (expectedBytes === undefined || expectedBytes === chunk.length)) {
+        held = chunk;
+        size = chunk.length;
         return;
       }
-      if (size + piece.length > held.length) grow(size + piece.length);
-      piece.copy(held, size);
-      size += piece.length;
+      if (size + chunk.length > held.length) grow(size + chunk.length);
+      chunk.copy(held, size);
+      size += chunk.length;
     },
     size: () => size,
     bytes: () => held.subarray(0, size),
--- a/src/process/http/caller-over-http.ts
+++ b/src/process/http/client-link-over-http.ts
@@ -1,20 +1,20 @@
 import type { ServerResponse } from 'node:http';
 import type { ClientLink } from '../../router/delivery/client-link.js';
 import { refusalStatusOf, unknownStatusOf } from '../router/error-status.js';
-import { breakOffResponse } from './break-off.js';
+import { abortResponse } from './abort-response.js';
 import { reply, replyError } from './reply.js';
 
-/** The way back to a caller over HTTP. */
-export const callerOverHttp = (response: ServerResponse): ClientLink => {
+/** Writes the response of an exchange to a client over HTTP: chunks as NDJSON lines, or one JSON document. */
+export const clientLinkOverHttp = (response: ServerResponse): ClientLink => {
   const begin = (exchange: string): void => {
     if (!response.headersSent)
       response.writeHead(200, { 'content-type': 'application/x-ndjson', 'x-exchange-id': exchange });
   };
   return {
     isGone: () => response.destroyed,
-    onGone: (act) =>
+    onGone: (listener) =>
       void response.on('close', () => {
-        if (!response.writableFinished) act();
+        if (!response.writableFinished) listener();
       }),
     piece: async (exchange, line) => {
       begin(exchange);
@@ -42,6 +42,6 @@
     },
     unknown: (error, facts) =>
       replyError(response, unknownStatusOf(error.type), error, { outcome: 'unknown', ...facts }),
-    breakOff: () => breakOffResponse(response),
+    breakOff: () => abortResponse(response),
   };
 };
--- a/src/process/http/caller-time-limits.ts
+++ b/src/process/http/client-time-limits.ts
@@ -4,19 +4,19 @@
 import type { CallerLimits } from '../../setup/document/caller-limits.js';
 
 /** The time limits of an HTTP server. */
-export type CallerTimeLimits = {
-  /** Takes the limits of a newer configuration; connections that rest now begin a new rest under them. */
-  readonly follow: (limits: Pick<CallerLimits, 'headUs' | 'idleUs'>) => void;
-  /** Lets a connection that has sent nothing yet rest as long as one between two requests. */
-  readonly letRest: (socket: Socket) => void;
+export type ClientTimeLimits = {
+  /** Applies the limits of a new configuration; the idle time-out of connections that are idle now starts again. */
+  readonly apply: (limits: Pick<CallerLimits, 'headUs' | 'idleUs'>) => void;
+  /** Applies the idle time-out to a connection that has not sent anything yet. */
+  readonly startIdleTimeout: (socket: Socket) => void;
 };
 
-/** Keeps the time limits of an HTTP server as the newest configuration has them. `bodyUs` bounds a whole request. */
-export const openCallerTimeLimits = (server: Server, bodyUs: Micros): CallerTimeLimits => {
-  /** How many requests of each open connection are not answered yet. */
+/** Applies configured time limits to an HTTP server. `bodyUs` bounds the time to receive a whole request. */
+export const openClientTimeLimits = (server: Server, bodyUs: Micros): ClientTimeLimits => {
+  /** The number of unanswered requests by open connection. */
   const unanswered = new Map<Socket, number>();
 
-  const countBy = (socket: Socket, difference: number): void => {
+  const addTo = (socket: Socket, difference: number): void => {
     const count = unanswered.get(socket);
     if (count !== undefined) unanswered.set(socket, count + difference);
   };
@@ -27,12 +27,12 @@
   });
   server.on('request', ({ socket }: { readonly socket: Socket }, response: ServerResponse) => {
     socket.setTimeout(server.timeout);
-    countBy(socket, 1);
-    response.once('close', () => countBy(socket, -1));
+    addTo(socket, 1);
+    response.once('close', () => addTo(socket, -1));
   });
 
   return {
-    follow: ({ headUs, idleUs }) => {
+    apply: ({ headUs, idleUs }) => {
       const idleMillis = toMillis(idleUs);
       const hasChanged = server.keepAliveTimeout !== idleMillis;
       server.keepAliveTimeout = idleMillis;
@@ -41,6 +41,6 @@
       if (!hasChanged) return;
       for (const [socket, count] of unanswered) if (count === 0) socket.setTimeout(idleMillis);
     },
-    letRest: (socket) => void socket.setTimeout(server.keepAliveTimeout),
+    startIdleTimeout: (socket) => void socket.setTimeout(server.keepAliveTimeout),
   };
 };
--- a/src/process/http/end-after-request.ts
+++ b/src/process/http/end-after-request.ts
@@ -1,8 +1,8 @@
 import type { ServerResponse } from 'node:http';
 
 /**
- * Ends an answer with its last bytes. Where the request has not come whole, the rest of it is read and dropped before: a
- * connection that is closed with unread bytes is reset, and its caller may never read the answer.
+ * Writes the last bytes of a response and ends it. If the request is not completely received, its rest is read and discarded first:
+ * a connection that is closed with unread bytes is reset, and the client may lose the response.
  */
 export const endAfterRequest = (response: ServerResponse, lastBytes: string): void => {
   const { req: message } = response;
--- a/src/process/http/http-server.ts
+++ b/src/process/http/http-server.ts
@@ -4,40 +4,40 @@
 import type { Micros } from '../../common/micros.js';
 import { listenAt } from '../../spread/link/listen-at.js';
 import type { Counters } from '../counters.js';
-import { openCallerConnections, type CallersAtStop } from './caller-connections.js';
-import { openCallerTimeLimits, type CallerTimeLimits } from './caller-time-limits.js';
+import { openClientConnections, type ConnectionDrain } from './client-connections.js';
+import { openClientTimeLimits, type ClientTimeLimits } from './client-time-limits.js';
 import { replyError } from './reply.js';
 import { typedError } from '../../common/typed-error.js';
 
-/** The HTTP side of a process. */
+/** The HTTP server of a process. */
 export type HttpServer = {
   readonly app: polka.Polka;
   readonly listen: () => Promise<void>;
-  readonly callers: CallersAtStop;
-  /** Takes the time limits of a newer configuration. */
-  readonly follow: CallerTimeLimits['follow'];
-  /** Ends once what is under way is done, or a second later; whoever goes on asking on a kept link is let go. */
+  readonly callers: ConnectionDrain;
+  /** Applies the time limits of a new configuration. */
+  readonly applyTimeLimits: ClientTimeLimits['apply'];
+  /** Closes the server once all accepted requests are answered, at the latest after `closeTimeoutUs`. No further ones are accepted. */
   readonly close: () => Promise<void>;
 };
 
-const closeBudgetUs: Micros = 1_000_000;
-const requestBudgetUs: Micros = 60_000_000;
-/** In force until a configuration names others. */
-const startLimits = { headUs: 10_000_000, idleUs: 30_000_000 };
+const closeTimeoutUs: Micros = 1_000_000;
+const requestTimeoutUs: Micros = 60_000_000;
+/** In effect until a configuration sets others. */
+const initialLimits = { headUs: 10_000_000, idleUs: 30_000_000 };
 
 export const openHttpServer = (address: string, counters: Counters): HttpServer => {
   const server = createServer();
-  const timeLimits = openCallerTimeLimits(server, requestBudgetUs);
-  timeLimits.follow(startLimits);
-  const connections = openCallerConnections(server);
+  const timeLimits = openClientTimeLimits(server, requestTimeoutUs);
+  timeLimits.apply(initialLimits);
+  const connections = openClientConnections(server);
   const app = polka({
     server,
     onNoMatch: (_message, response) => replyError(response, 404, typedError('not-found', 'no such path or method')),
     onError: (_error, _message, response) =>
-      replyError(response, 400, typedError('bad-exchange', 'the headers or the path do not hold')),
+      replyError(response, 400, typedError('bad-exchange', 'the headers or the path are malformed')),
   });
   app.use((message, response, next) => {
-    if (connections.take(message, response)) {
+    if (connections.accept(message, response)) {
       next();
       return;
     }
@@ -46,7 +46,7 @@
   });
   server.on('clientError', (_error, socket) => {
     counters.count('http.bad');
-    if (!socket.writable || connections.endAfterAnswers(socket)) return;
+    if (!socket.writable || connections.closeAfterResponses(socket)) return;
     socket.end('HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n');
   });
   app.get('/counters', (_message, response) => {
@@ -55,18 +55,18 @@
   });
   return {
     app,
-    follow: timeLimits.follow,
+    applyTimeLimits: timeLimits.apply,
     callers: connections,
     listen: () => listenAt(server, address, (port, host, done) => app.listen(port, host, done)),
     close: () =>
       new Promise((resolve) => {
-        connections.retire();
-        const takeBack = steadyClock.after(closeBudgetUs, () => server.closeAllConnections());
+        connections.closeAfterNewest();
+        const cancelTimeout = steadyClock.after(closeTimeoutUs, () => server.closeAllConnections());
         server.close(() => {
-          takeBack();
+          cancelTimeout();
           resolve();
         });
-        connections.endIdle();
+        connections.closeIdle();
       }),
   };
 };
--- a/src/process/http/operator-paths.ts
+++ b/src/process/http/operator-paths.ts
@@ -9,12 +9,12 @@
 import { readJsonBody } from './read-body.js';
 import { reply, replyError } from './reply.js';
 
-const mostSetupBytes = 1 << 20;
-const comeBackUs: Micros = 1_000_000;
+const maxSetupBytes = 1 << 20;
+const retryAfterUs: Micros = 1_000_000;
 
-const nameForm = /^[A-Za-z0-9._-]{1,128}$/;
+const proposalIdPattern = /^[A-Za-z0-9._-]{1,128}$/;
 
-const expectedOf = (message: IncomingMessage): Either<TypedError, number | undefined> => {
+const expectedRevisionOf = (message: IncomingMessage): Either<TypedError, number | undefined> => {
   const ifMatch = message.headers['if-match'];
   if (ifMatch === undefined) return Right(undefined);
   const revision = /^"(\d{1,15})"$/.exec(ifMatch)?.[1];
@@ -23,9 +23,9 @@
     : Right(Number(revision));
 };
 
-const named = (given: unknown): Either<TypedError, string> =>
-  typeof given === 'string' && nameForm.test(given)
-    ? Right(given)
+const checkProposalId = (value: unknown): Either<TypedError, string> =>
+  typeof value === 'string' && proposalIdPattern.test(value)
+    ? Right(value)
     : Left(typedError('bad-exchange', 'a proposal id must be 1 to 128 letters, digits, dots, dashes or underscores'));
 
 const statusOf = (error: TypedError): number => {
@@ -48,7 +48,7 @@
     statusOf(error),
     error,
     { outcome: 'refused' },
-    error.type === 'unreachable' ? comeBackUs : undefined,
+    error.type === 'unreachable' ? retryAfterUs : undefined,
   );
 
 const replyOutcome = (response: ServerResponse, proposal: string, outcome: FinalOutcome): void => {
@@ -58,8 +58,8 @@
   }
   const message =
     outcome.type === 'cancelled'
-      ? 'the proposal was withdrawn and never will be taken'
-      : `revision ${outcome.revision} was the newest`;
+      ? 'the proposal was withdrawn and can never be committed'
+      : `the newest revision was ${outcome.revision}, not the expected one`;
   replyError(response, 409, typedError('lost-race', message), {
     outcome: outcome.type === 'cancelled' ? 'void' : 'lost-race',
     proposal,
@@ -67,19 +67,19 @@
   });
 };
 
-const replyWord = (response: ServerResponse, word: OperatorReply): void => {
-  switch (word.type) {
+const replyResult = (response: ServerResponse, result: OperatorReply): void => {
+  switch (result.type) {
     case 'record':
-      reply(response, 200, word.record, { etag: `"${word.record.revision}"` });
+      reply(response, 200, result.record, { etag: `"${result.record.revision}"` });
       return;
     case 'none':
-      replyError(response, 404, typedError('not-found', 'no setup has been taken yet'));
+      replyError(response, 404, typedError('not-found', 'no setup has been committed yet'));
       return;
     case 'decided':
-      replyOutcome(response, word.proposal, word.outcome);
+      replyOutcome(response, result.proposal, result.outcome);
       return;
     case 'unknown': {
-      const { proposal, error } = word;
+      const { proposal, error } = result;
       reply(
         response,
         202,
@@ -89,39 +89,39 @@
       return;
     }
     case 'refused':
-      replyRefused(response, word.error);
+      replyRefused(response, result.error);
   }
 };
 
-/** What operators use: put a setup, read the newest, ask after a proposal or withdraw it. */
-export const addOperatorPaths = ({ app }: HttpServer, desk: OperatorService): void => {
-  app.get('/operator/setup', async (_message, response) => replyWord(response, await desk.read()));
+/** Adds the paths of operators: put a setup, read the newest, read the outcome of a proposal or withdraw it. */
+export const addOperatorPaths = ({ app }: HttpServer, operatorService: OperatorService): void => {
+  app.get('/operator/setup', async (_message, response) => replyResult(response, await operatorService.read()));
 
   app.put('/operator/setup', async (message, response) => {
-    const read = await readJsonBody(message, mostSetupBytes, 'invalid-setup').run();
+    const read = await readJsonBody(message, maxSetupBytes, 'invalid-setup').run();
     const put = read.chain((value) =>
-      named(message.headers['proposal-id'] ?? randomUUID()).chain((proposal) =>
-        expectedOf(message).map((expected) => desk.put(value, proposal, expected)),
+      checkProposalId(message.headers['proposal-id'] ?? randomUUID()).chain((proposal) =>
+        expectedRevisionOf(message).map((expected) => operatorService.put(value, proposal, expected)),
       ),
     );
     await put.caseOf<Promise<void>>({
       Left: (error) => Promise.resolve(replyRefused(response, error)),
-      Right: async (word) => replyWord(response, await word),
+      Right: async (result) => replyResult(response, await result),
     });
   });
 
   app.get('/operator/proposals/:proposal', async (message, response) =>
-    replyWord(response, await desk.ask(String(message.params['proposal'] ?? ''))),
+    replyResult(response, await operatorService.ask(String(message.params['proposal'] ?? ''))),
   );
 
   app.delete('/operator/proposals/:proposal', async (message, response) => {
-    await named(message.params['proposal']).caseOf<Promise<void>>({
+    await checkProposalId(message.params['proposal']).caseOf<Promise<void>>({
       Left: (error) => Promise.resolve(replyRefused(response, error)),
       Right: async (proposal) => {
-        const word = await desk.withdraw(proposal);
-        if (word.type === 'decided' && word.outcome.type === 'cancelled')
+        const result = await operatorService.withdraw(proposal);
+        if (result.type === 'decided' && result.outcome.type === 'cancelled')
           reply(response, 200, { outcome: 'void', proposal });
-        else replyWord(response, word);
+        else replyResult(response, result);
       },
     });
   });
--- a/src/process/http/platform-paths.ts
+++ b/src/process/http/platform-paths.ts
@@ -2,22 +2,22 @@
 import { checkList } from '../../servers/list/check-list.js';
 import { setupDigestOf } from '../../setup/document/setup-digest.js';
 import type { Counters } from '../counters.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 import type { HttpServer } from './http-server.js';
 import { readJsonBody } from './read-body.js';
 import { reply, replyError } from './reply.js';
 
-const mostListBytes = 8 << 20;
+const maxListBytes = 8 << 20;
 
-/** Why a process is not ready; none when it is. */
-export type Unready = () => string | undefined;
+/** Returns why a process is not ready; undefined when it is. */
+export type UnreadyReason = () => string | undefined;
 
-/** What the platform uses: probes, and the list of servers. */
+/** Adds the paths of the platform (liveness, readiness, server list), the list of peers, and the gauges of a node. */
 export const addPlatformPaths = (
   { app }: HttpServer,
-  spread: SpreadTask,
+  spread: GossipTask,
   counters: Counters,
-  unready: Unready,
+  unready: UnreadyReason,
 ): void => {
   counters.gauge('process.cpuUs', () => process.cpuUsage().user + process.cpuUsage().system);
   counters.gauge('process.memoryBytes', () => process.memoryUsage.rss());
@@ -31,13 +31,13 @@
   });
   app.get('/platform/list', (_message, response) => {
     const { list } = spread.view();
-    if (list === undefined) replyError(response, 404, typedError('not-found', 'no list is known yet'));
+    if (list === undefined) replyError(response, 404, typedError('not-found', 'no server list is known yet'));
     else reply(response, 200, list);
   });
   app.put('/platform/list', async (message, response) => {
-    const checkedList = await readJsonBody(message, mostListBytes, 'invalid-list').chain((value) =>
+    const checkedList = await readJsonBody(message, maxListBytes, 'invalid-list').chain((value) =>
       Promise.resolve(
-        checkList(value).mapLeft((faults) => typedError('invalid-list', 'the list does not hold', faults)),
+        checkList(value).mapLeft((faults) => typedError('invalid-list', 'the server list is invalid', faults)),
       ),
     );
     checkedList
@@ -52,7 +52,10 @@
           replyError(
             response,
             409,
-            typedError('stale-list', `version ${known.version} is known, ${list.version} came`),
+            typedError(
+              'stale-list',
+              `version ${known.version} of the server list is known, but the request has version ${list.version}`,
+            ),
           );
           return;
         }
--- a/src/process/http/receive-body.ts
+++ b/src/process/http/receive-body.ts
@@ -2,37 +2,36 @@
 import { Left, Right, type Either } from 'purify-ts';
 import type { Micros } from '../../common/micros.js';
 import { messageOf, typedError, type TypedError } from '../../common/typed-error.js';
-import { smallBodyBytes, type BodyMemory } from '../memory/body-memory.js';
+import { maxSmallBodyBytes, type BodyMemory } from '../memory/body-memory.js';
 import type { Reservation } from '../memory/memory-pool.js';
 import { openByteBuffer } from './byte-buffer.js';
 
-/** A body that was read whole. Its memory is held until it is released. */
+/** A completely received body. Its memory stays reserved until `release` is called. */
 export type ReceivedBody = {
   readonly bytes: Uint8Array;
-  /** How long it waited for memory. */
+  /** How long the request waited for memory. */
   readonly waitedUs: Micros;
   readonly release: () => void;
 };
 
 export type BodyLimits = {
   readonly mostBytes: number;
-  /** How long it may wait for memory. */
+  /** How long the request may wait for memory. */
   readonly mostWaitUs: Micros;
 };
 
 const oversized = (mostBytes: number): TypedError =>
-  typedError('oversized-body', `the body may have at most ${mostBytes} bytes`);
+  typedError('oversized-body', `the body is larger than the limit of ${mostBytes} bytes`);
 
-/** The length that a message tells of its body; none for a body in chunks. */
-const toldLengthOf = ({ headers }: IncomingMessage): number | undefined => {
+/** The declared length of a body; undefined for a chunked body. */
+const declaredLengthOf = ({ headers }: IncomingMessage): number | undefined => {
   if (headers['transfer-encoding'] !== undefined) return undefined;
   return Number(headers['content-length'] ?? 0);
 };
 
 /**
- * Reads the body of a request once there is memory for it; until then nothing of it is read. Settles once: with the body,
- * with `oversized-body`, with `over-memory`, or with `link-error` where the caller went away. After an error nothing more of
- * the body is kept.
+ * Reads the body of a request. Reading begins once memory for it is reserved. Settles once: with the body, with `oversized-body`, with
+ * `over-memory`, or with `link-error` if the connection closes. After an error the body is discarded.
  */
 export const receiveBody = (
   message: IncomingMessage,
@@ -40,18 +39,18 @@
   { mostBytes, mostWaitUs }: BodyLimits,
   settle: (outcome: Either<TypedError, ReceivedBody>) => void,
 ): void => {
-  const toldBytes = toldLengthOf(message);
-  const buffer = openByteBuffer(toldBytes, mostBytes);
+  const declaredBytes = declaredLengthOf(message);
+  const buffer = openByteBuffer(declaredBytes, mostBytes);
   let reservation: Reservation | undefined;
   let reservedBytes = 0;
   let waitedUs: Micros = 0;
   let isSettled = false;
-  let leaveWait = (): void => undefined;
+  let cancelWait = (): void => undefined;
 
   const settleOnce = (outcome: Either<TypedError, ReceivedBody>): void => {
     if (isSettled) return;
     isSettled = true;
-    leaveWait();
+    cancelWait();
     if (outcome.isLeft()) {
       reservation?.release();
       buffer.clear();
@@ -61,15 +60,15 @@
 
   const fail = (error: TypedError): void => settleOnce(Left(error));
 
-  /** Exchanges what is reserved for so many bytes. */
-  const reserve = (bytes: number, goOn: () => void): void => {
-    leaveWait = memory.poolFor(bytes).reserve(bytes, mostWaitUs, (outcome) =>
+  /** Replaces the current reservation, if any, by one of the given size. */
+  const reserve = (bytes: number, onReserved: () => void): void => {
+    cancelWait = memory.poolFor(bytes).reserve(bytes, mostWaitUs, (outcome) =>
       outcome.ifLeft(fail).ifRight((granted) => {
         reservation?.release();
         reservation = granted;
         reservedBytes = bytes;
         waitedUs += granted.waitedUs;
-        goOn();
+        onReserved();
       }),
     );
   };
@@ -87,18 +86,18 @@
   };
 
   const onEnd = (): void => {
-    const held = reservation;
-    held?.shrinkTo(buffer.size());
-    settleOnce(Right({ bytes: buffer.bytes(), waitedUs, release: () => held?.release() }));
+    const bodyReservation = reservation;
+    bodyReservation?.shrinkTo(buffer.size());
+    settleOnce(Right({ bytes: buffer.bytes(), waitedUs, release: () => bodyReservation?.release() }));
   };
 
   message.on('error', (thrown) => settleOnce(Left(typedError('link-error', messageOf(thrown)))));
-  message.on('close', () => settleOnce(Left(typedError('link-error', 'the caller went away'))));
-  if (toldBytes !== undefined && toldBytes > mostBytes) {
+  message.on('close', () => settleOnce(Left(typedError('link-error', 'the client closed the connection'))));
+  if (declaredBytes !== undefined && declaredBytes > mostBytes) {
     fail(oversized(mostBytes));
     return;
   }
-  reserve(toldBytes ?? Math.min(smallBodyBytes, mostBytes), () => {
+  reserve(declaredBytes ?? Math.min(maxSmallBodyBytes, mostBytes), () => {
     message.on('data', onData);
     message.on('end', onEnd);
   });
--- a/src/process/http/reply.ts
+++ b/src/process/http/reply.ts
@@ -4,7 +4,7 @@
 import type { TypedError } from '../../common/typed-error.js';
 import { endAfterRequest } from './end-after-request.js';
 
-/** Answers with JSON and ends. */
+/** Sends a complete JSON response; does nothing if a response has begun or the connection is closed. */
 export const reply = (
   response: ServerResponse,
   status: number,
@@ -21,16 +21,17 @@
   endAfterRequest(response, text);
 };
 
+/** As `reply`, with the error, further fields and the delay after which the client may retry. */
 export const replyError = (
   response: ServerResponse,
   status: number,
   error: TypedError,
-  more: Readonly<Record<string, unknown>> = {},
+  fields: Readonly<Record<string, unknown>> = {},
   retryAfterUs?: Micros,
 ): void =>
   reply(
     response,
     status,
-    { error, ...more, ...(retryAfterUs === undefined ? {} : { retryAfterUs }) },
+    { error, ...fields, ...(retryAfterUs === undefined ? {} : { retryAfterUs }) },
     retryAfterUs === undefined ? {} : { 'retry-after': String(toRetrySeconds(retryAfterUs)) },
   );
--- a/src/process/memory/body-memory.ts
+++ b/src/process/memory/body-memory.ts
@@ -3,44 +3,45 @@
 import type { Counters } from '../counters.js';
 import { openMemoryPool, type MemoryPool } from './memory-pool.js';
 
-/** The memory for request bodies. Small ones have a part of their own, so that they never wait behind large ones. */
+/** The memory for request bodies. Small bodies have a pool of their own, so that they never wait behind large ones. */
 export type BodyMemory = {
-  /** The pool from which a body of at most so many bytes is held. */
+  /** The pool for a body of at most the given size. */
   readonly poolFor: (bytes: number) => MemoryPool;
-  readonly endWaits: () => void;
+  /** Refuses all waiting requests, and any that would have to wait from now on. */
+  readonly refuseWaiting: () => void;
 };
 
-/** A body up to this size is small. */
-export const smallBodyBytes = 1 << 17;
+/** Bodies up to this size use the pool of small bodies. */
+export const maxSmallBodyBytes = 1 << 17;
 /**
- * Parts of a process's memory. Beside the bodies stand the program itself, and bodies that are not held any more and not yet
- * collected.
+ * Shares of the process's memory. The rest is for the program itself, and for released bodies that are not garbage-collected
+ * yet.
  */
 const largeShare = 1 / 5;
 const smallShare = 1 / 8;
 const waitingShare = 1 / 20;
-/** What the runtime reads ahead of a request that waits. */
+/** The bytes that the runtime has buffered of a request that waits. */
 const readAheadBytes = 1 << 16;
 
-/** A request waits for memory for a part of its time, so that what is left serves it. */
+/** A request may wait for memory for this share of its time budget, so that the rest is left to serve it. */
 const waitShare = 1 / 2;
-const mostWaitUs: Micros = 10_000_000;
+const maxWaitUs: Micros = 10_000_000;
 
-/** How long a request with so much time may wait for memory. */
-export const memoryWaitOf = (budgetUs: Micros): Micros => Math.min(mostWaitUs, Math.floor(budgetUs * waitShare));
+/** How long a request may wait for memory, by its time budget. */
+export const memoryWaitOf = (budgetUs: Micros): Micros => Math.min(maxWaitUs, Math.floor(budgetUs * waitShare));
 
-/** Opens the memory for bodies of a process that has so much memory in all. */
+/** Opens the body memory of a process that has `memoryBytes` of memory in total. */
 export const openBodyMemory = (memoryBytes: number, clock: Clock, counters: Counters): BodyMemory => {
-  const mostWaiting = Math.floor((memoryBytes * waitingShare) / readAheadBytes);
-  const large = openMemoryPool(Math.floor(memoryBytes * largeShare), mostWaiting, clock);
-  const small = openMemoryPool(Math.floor(memoryBytes * smallShare), mostWaiting, clock);
+  const maxWaiting = Math.floor((memoryBytes * waitingShare) / readAheadBytes);
+  const large = openMemoryPool(Math.floor(memoryBytes * largeShare), maxWaiting, clock);
+  const small = openMemoryPool(Math.floor(memoryBytes * smallShare), maxWaiting, clock);
   counters.gauge('bodies.heldBytes', () => large.heldBytes() + small.heldBytes());
   counters.gauge('bodies.waiting', () => large.waiting() + small.waiting());
   return {
-    poolFor: (bytes) => (bytes <= smallBodyBytes ? small : large),
-    endWaits: () => {
-      large.endWaits();
-      small.endWaits();
+    poolFor: (bytes) => (bytes <= maxSmallBodyBytes ? small : large),
+    refuseWaiting: () => {
+      large.refuseWaiting();
+      small.refuseWaiting();
     },
   };
 };
--- a/src/process/memory/memory-pool.ts
+++ b/src/process/memory/memory-pool.ts
@@ -3,20 +3,20 @@
 import type { Micros } from '../../common/micros.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
 
-/** A part of a pool that one request holds. */
+/** The part of a pool that one request has reserved. */
 export type Reservation = {
-  /** How long it was waited for. */
+  /** How long the request waited for it. */
   readonly waitedUs: Micros;
-  /** Gives back what is held beyond so many bytes. */
+  /** Returns what is reserved beyond the given size to the pool. */
   readonly shrinkTo: (bytes: number) => void;
   readonly release: () => void;
 };
 
-/** A bound on the bytes that requests hold together. Who comes first is served first. */
+/** Bounds the bytes that all requests hold together. Waiting requests are served in order (FIFO). */
 export type MemoryPool = {
   /**
-   * Settles once with the reservation, at once where there is room; with `over-memory` where none comes free in time or too many
-   * wait, and with `oversized-body` for more than the whole pool. What it returns gives up waiting.
+   * Settles once: with a reservation, at once if there is room; with `over-memory` after `waitUs` or if too many requests wait; with
+   * `oversized-body` if the whole pool is too small. The returned function cancels the wait.
    */
   readonly reserve: (
     bytes: number,
@@ -24,9 +24,10 @@
     settle: (outcome: Either<TypedError, Reservation>) => void,
   ) => () => void;
   readonly heldBytes: () => number;
+  /** The number of waiting requests. */
   readonly waiting: () => number;
-  /** Refuses all that wait, and whatever would have to wait from now on. */
-  readonly endWaits: () => void;
+  /** Refuses all waiting requests, and any that would have to wait from now on. */
+  readonly refuseWaiting: () => void;
 };
 
 type Waiter = {
@@ -35,10 +36,10 @@
   readonly settle: (outcome: Either<TypedError, Reservation>) => void;
 };
 
-const overMemory = typedError('over-memory', 'refused: too many bodies are held at the moment');
+const overMemory = typedError('over-memory', 'refused: not enough memory for the request body at the moment');
 
-/** Opens an empty pool; at most so many requests wait for room in it. */
-export const openMemoryPool = (capacityBytes: number, mostWaiting: number, clock: Clock): MemoryPool => {
+/** Opens an empty pool, in which at most `maxWaiting` requests wait. */
+export const openMemoryPool = (capacityBytes: number, maxWaiting: number, clock: Clock): MemoryPool => {
   const waiters = new Set<Waiter>();
   let heldBytes = 0;
   let refusesWaits = false;
@@ -56,10 +57,10 @@
   const hold = (bytes: number, waitedUs: Micros): Reservation => {
     let ownBytes = bytes;
     heldBytes += bytes;
-    const shrinkTo = (keptBytes: number): void => {
-      if (keptBytes >= ownBytes) return;
-      heldBytes -= ownBytes - keptBytes;
-      ownBytes = keptBytes;
+    const shrinkTo = (newBytes: number): void => {
+      if (newBytes >= ownBytes) return;
+      heldBytes -= ownBytes - newBytes;
+      ownBytes = newBytes;
       serveWaiters();
     };
     return { waitedUs, shrinkTo, release: () => shrinkTo(0) };
@@ -74,7 +75,7 @@
       bytes,
       sinceUs: clock.now(),
       settle: (outcome) => {
-        takeBack();
+        cancelTimeout();
         settle(outcome);
       },
     };
@@ -82,13 +83,13 @@
       waiters.delete(waiter);
       serveWaiters();
     };
-    const takeBack = clock.after(waitUs, () => {
+    const cancelTimeout = clock.after(waitUs, () => {
       leave();
       settle(Left(overMemory));
     });
     waiters.add(waiter);
     return () => {
-      takeBack();
+      cancelTimeout();
       leave();
     };
   };
@@ -96,14 +97,16 @@
   return {
     reserve: (bytes, waitUs, settle) => {
       if (bytes > capacityBytes) {
-        settle(Left(typedError('oversized-body', `the body is larger than the ${capacityBytes} bytes for bodies`)));
+        settle(
+          Left(typedError('oversized-body', `the body is larger than the ${capacityBytes} bytes of its memory pool`)),
+        );
         return () => undefined;
       }
       if (bytes === 0 || (waiters.size === 0 && hasRoom(bytes))) {
         settle(Right(hold(bytes, 0)));
         return () => undefined;
       }
-      if (refusesWaits || waiters.size >= mostWaiting) {
+      if (refusesWaits || waiters.size >= maxWaiting) {
         settle(Left(overMemory));
         return () => undefined;
       }
@@ -111,7 +114,7 @@
     },
     heldBytes: () => heldBytes,
     waiting: () => waiters.size,
-    endWaits: () => {
+    refuseWaiting: () => {
       refusesWaits = true;
       const refused = [...waiters];
       waiters.clear();
--- a/src/process/operator/counted-operator-service.ts
+++ b/src/process/operator/instrumented-operator-service.ts
@@ -4,16 +4,20 @@
 import type { OperatorReply } from './operator-reply.js';
 import type { OperatorService, OriginalPut } from './operator-service.js';
 
-/** The first faults of a document that was refused, as many as a log line bears. */
-const mostFaults = 3;
+/** Only the first faults of a refused document are logged, to bound the length of the line. */
+const maxLoggedFaults = 3;
 
 const factsOf = ({ type, faults }: TypedError): Readonly<Record<string, unknown>> => ({
   error: type,
-  ...(faults === undefined ? {} : { faults: faults.slice(0, mostFaults) }),
+  ...(faults === undefined ? {} : { faults: faults.slice(0, maxLoggedFaults) }),
 });
 
-/** The same service; each call is counted by its reply, and each document that was not taken is logged with the cause. */
-export const countedOperatorService = (service: OperatorService, counters: Counters, log: Log): OperatorService => {
+/** Wraps a service: each call is counted by its reply, and the result of each document put is logged, with the cause of a refusal. */
+export const instrumentedOperatorService = (
+  service: OperatorService,
+  counters: Counters,
+  log: Log,
+): OperatorService => {
   const counted = (reply: OperatorReply): OperatorReply => {
     counters.count(
       reply.type === 'refused' || reply.type === 'unknown'
--- a/src/process/operator/operator-service.ts
+++ b/src/process/operator/operator-service.ts
@@ -12,26 +12,27 @@
 import { callBudgetUs, proposeBudgetOf } from './call-budgets.js';
 import type { OperatorReply } from './operator-reply.js';
 
-/** A setup with the operator's own document that it was made of, and the version of it that is to be replaced. */
+/** A setup, the operator's document that it was converted from, and the version of that document to be replaced. */
 export type OriginalPut = {
   readonly setup: unknown;
   readonly original: Original;
   readonly expectedVersion: number;
 };
 
-/** What operators may ask for, over HTTP or in the simulator. */
+/** The calls of operators, over HTTP or in the simulator. */
 export type OperatorService = {
   readonly read: () => Promise<OperatorReply>;
-  /** Puts a setup in place of the expected revision, or of the newest where none is given. */
+  /** Replaces the expected revision, or the newest one if undefined, by a setup. Optimistic concurrency: a race has one winner. */
   readonly put: (value: unknown, proposal: string, expected: number | undefined) => Promise<OperatorReply>;
-  /** Puts a setup made of an operator's own document; the document's version decides the race. */
+  /** As `put`, for a setup converted from an operator's document; the expected version of that document is compared instead. */
   readonly putOriginal: (put: OriginalPut) => Promise<OperatorReply>;
+  /** Reads the outcome of a proposal. */
   readonly ask: (proposal: string) => Promise<OperatorReply>;
-  /** Cancels a proposal that is not decided yet: it can never be committed afterwards. */
+  /** Cancels a proposal unless it is decided already: afterwards it can never be committed. */
   readonly withdraw: (proposal: string) => Promise<OperatorReply>;
 };
 
-/** What operators may ask for without a document of their own. */
+/** The calls that use revisions of the setup, not versions of an operator's document. */
 export type RevisionService = Omit<OperatorService, 'putOriginal'>;
 
 const recordOf = (reply: CoreReply): Extract<CoreReply, { readonly type: 'record' }> | undefined =>
@@ -40,25 +41,28 @@
 const outcomeOf = (reply: CoreReply): ProposalOutcome | undefined =>
   reply.type === 'applied' && reply.outcome.type === 'proposal' ? reply.outcome.outcome : undefined;
 
-const checkedFor = (value: unknown): Either<TypedError, Setup> =>
+const validSetupOf = (value: unknown): Either<TypedError, Setup> =>
   checkSetup(value).mapLeft((faults) => typedError('invalid-setup', 'the setup does not hold', faults));
 
 const unknown = (proposal: string, error: TypedError): OperatorReply => ({ type: 'unknown', proposal, error });
 
 const refused = (error: TypedError): OperatorReply => ({ type: 'refused', error });
 
-/** The reply on an outcome that a majority committed. */
+/** The reply for a committed outcome. */
 const replyOfOutcome = (proposal: string, outcome: ProposalOutcome): OperatorReply =>
   outcome.type === 'forgotten'
-    ? unknown(proposal, typedError('undecided', 'it may have been committed too long ago to be remembered'))
+    ? unknown(
+        proposal,
+        typedError('undecided', 'the proposal may have been committed so long ago that its outcome was forgotten'),
+      )
     : { type: 'decided', proposal, outcome };
 
-/** Opens the operator's service on a client of the core. */
+/** Opens the operator service on a client of the core; `platformUs` is the time that a proposal is stamped with. */
 export const openOperatorService = (core: CoreClient, platformUs: () => Micros): OperatorService => {
   const newestRevision = async (): Promise<Either<TypedError, number>> =>
     (await core.ask({ type: 'read' }, callBudgetUs)).map((reply) => recordOf(reply)?.record?.revision ?? 0);
 
-  /** A proposal that may stand in a log gets no definite reply. */
+  /** While the proposal may still be committed, its reply is `unknown`. */
   const propose = async (proposal: string, command: Command, budgetUs: Micros): Promise<OperatorReply> =>
     (await core.ask({ type: 'propose', command }, budgetUs)).caseOf<OperatorReply>({
       Left: (error) => (error.type === 'undecided' ? unknown(proposal, error) : refused(error)),
@@ -80,7 +84,7 @@
         },
       }),
     put: async (value, proposal, expected) => {
-      const checkedSetup = checkedFor(value);
+      const checkedSetup = validSetupOf(value);
       if (checkedSetup.isLeft()) return refused(checkedSetup.extract());
       const newest = expected === undefined ? await newestRevision() : Right(expected);
       if (newest.isLeft()) return refused(newest.extract());
@@ -95,7 +99,7 @@
       return propose(proposal, command, callBudgetUs);
     },
     putOriginal: async ({ setup, original, expectedVersion }) =>
-      checkedFor(setup).caseOf<Promise<OperatorReply>>({
+      validSetupOf(setup).caseOf<Promise<OperatorReply>>({
         Left: (error) => Promise.resolve(refused(error)),
         Right: (validSetup) => {
           const proposal = proposalOfDocument(original);
@@ -116,7 +120,13 @@
         Right: (reply) => {
           const outcome = recordOf(reply)?.outcome;
           return outcome === undefined
-            ? unknown(proposal, typedError('unknown-proposal', 'not decided; withdraw it with DELETE to end the doubt'))
+            ? unknown(
+                proposal,
+                typedError(
+                  'unknown-proposal',
+                  'no outcome is known; withdraw the proposal with DELETE to have it decided',
+                ),
+              )
             : replyOfOutcome(proposal, outcome);
         },
       }),
--- a/src/process/rehearsed-disk.ts
+++ b/src/process/rehearsed-disk.ts
@@ -4,16 +4,19 @@
 
 const troubleSchema = object({ delayUs: number().required().min(0), fails: boolean().required() }).required();
 
-/** The trouble that a rehearsal's launcher brings to this process's disk; none for a process that was started otherwise. */
-export const listenForDiskTrouble = (): (() => DiskTrouble) => {
-  let currentTrouble = noTrouble;
+/**
+ * Receives the disk faults that the launcher of a rehearsal (a fault-injection run) sends over the IPC channel. Returns a getter of
+ * the fault in effect; without a channel there is never one.
+ */
+export const receiveDiskTrouble = (): (() => DiskTrouble) => {
+  let trouble = noTrouble;
   if (process.channel !== undefined) {
     process.on('message', (message) => {
-      checked(troubleSchema, message).ifRight((trouble) => {
-        currentTrouble = trouble;
+      checked(troubleSchema, message).ifRight((received) => {
+        trouble = received;
       });
     });
     process.channel.unref();
   }
-  return () => currentTrouble;
+  return () => trouble;
 };
--- a/src/process/router/admission.ts
+++ b/src/process/router/admission.ts
@@ -17,7 +17,7 @@
 import type { Setup } from '../../setup/document/setup.js';
 import type { CoreClient } from '../core-client.js';
 import type { Counters } from '../counters.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 import type { QuotaTask } from './quota-task.js';
 import type { RefreshGate } from './refresh-gate.js';
 import type { RouterTask } from './router-task.js';
@@ -39,7 +39,7 @@
 
 export type AdmissionDependencies = {
   readonly router: RouterTask;
-  readonly spread: SpreadTask;
+  readonly spread: GossipTask;
   readonly core: CoreClient;
   readonly gate: RefreshGate;
   readonly quota: Pick<QuotaTask, 'spend' | 'refund' | 'charge'>;
--- a/src/process/router/exchange-paths.ts
+++ b/src/process/router/exchange-paths.ts
@@ -5,7 +5,7 @@
 import { typedError, type TypedError } from '../../common/typed-error.js';
 import { platformUsOf } from '../../decision/machine/view/decision-view.js';
 import type { HttpServer } from '../http/http-server.js';
-import { callerOverHttp } from '../http/caller-over-http.js';
+import { clientLinkOverHttp } from '../http/client-link-over-http.js';
 import { receiveBody, type ReceivedBody } from '../http/receive-body.js';
 import { reply, replyError } from '../http/reply.js';
 import { bearerTokenOf } from '../../router/access/bearer-token.js';
@@ -32,7 +32,7 @@
     await node.admit(
       await readRequest(message, node),
       message.headers['idempotency-key'],
-      callerOverHttp(response),
+      clientLinkOverHttp(response),
       bearerTokenOf(message.headers.authorization),
     );
   });
--- a/src/process/router/quota-task.ts
+++ b/src/process/router/quota-task.ts
@@ -5,7 +5,7 @@
 import { initialQuotaReserve } from '../../quota/reserve/quota-reserve-state.js';
 import { stepQuotaReserve } from '../../quota/reserve/step-quota-reserve.js';
 import type { Counters } from '../counters.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 
 /** The decision on a request under its tenant's quota. */
 export type QuotaDecision =
@@ -29,7 +29,7 @@
 
 export type QuotaTaskDependencies = {
   readonly node: string;
-  readonly spread: SpreadTask;
+  readonly spread: GossipTask;
   readonly clock: Clock;
   readonly counters: Counters;
 };
--- a/src/process/router/refresh-gate.ts
+++ b/src/process/router/refresh-gate.ts
@@ -1,7 +1,7 @@
 import { longestStepUs } from '../../common/clock/time-bound.js';
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 
 /** Holds back new work after the process was frozen, until the configuration and the server list have been refreshed. */
 export type RefreshGate = {
@@ -15,7 +15,7 @@
 
 /** Opens the gate of one process; `onFreeze` is called with the length of each detected freeze. */
 export const openRefreshGate = (
-  spread: SpreadTask,
+  spread: GossipTask,
   clock: Clock,
   onFreeze: (frozenUs: Micros) => void,
 ): RefreshGate => {
--- a/src/process/router/router-node.ts
+++ b/src/process/router/router-node.ts
@@ -5,13 +5,13 @@
 import { openCoreClient, type CoreClient } from '../core-client.js';
 import { openCounters, type Counters } from '../counters.js';
 import { openFailureReport } from '../failure-report.js';
-import type { CallersAtStop } from '../http/caller-connections.js';
+import type { ConnectionDrain } from '../http/client-connections.js';
 import { openLoopDelay } from '../loop-delay.js';
 import type { Log } from '../log.js';
 import { openBodyMemory, type BodyMemory } from '../memory/body-memory.js';
-import { linkOptionsOf, usualMemoryBytes, type NodeSettings } from '../settings/node-settings.js';
-import { openSourceTask } from '../source-task.js';
-import { openSpreadTask, type SpreadTask } from '../spread-task.js';
+import { linkOptionsOf, defaultMemoryBytes, type NodeSettings } from '../settings/node-settings.js';
+import { openPollerTask } from '../poller-task.js';
+import { openGossipTask, type GossipTask } from '../gossip-task.js';
 import type { Surroundings } from '../surroundings/surroundings.js';
 import { openAdmission, type Admission } from './admission.js';
 import { openQuotaTask } from './quota-task.js';
@@ -21,7 +21,7 @@
 /** A router node with all its tasks, but without its HTTP server. */
 export type RouterNode = {
   readonly name: string;
-  readonly spread: SpreadTask;
+  readonly spread: GossipTask;
   readonly router: RouterTask;
   readonly counters: Counters;
   /** The memory budget for request bodies. */
@@ -36,7 +36,7 @@
   readonly isStopping: () => boolean;
   readonly start: () => Promise<void>;
   /** Stops gracefully: reports unready, waits until the exchanges in flight are complete or the time limit passes, then ends. */
-  readonly stop: (callers?: CallersAtStop) => Promise<void>;
+  readonly stop: (callers?: ConnectionDrain) => Promise<void>;
   /** Stops immediately; responses in flight are aborted. */
   readonly end: () => void;
 };
@@ -46,7 +46,7 @@
   readonly log: Log;
   readonly surroundings: Surroundings;
   /** Opens the client of the core. */
-  readonly openCore?: (spread: SpreadTask, surroundings: Surroundings) => CoreClient;
+  readonly openCore?: (spread: GossipTask, surroundings: Surroundings) => CoreClient;
 };
 
 const coreRequestBudgetUs: Micros = 1_000_000;
@@ -68,8 +68,8 @@
 }: RouterNodeOptions): RouterNode => {
   const { clock } = surroundings;
   const counters = openCounters();
-  const bodies = openBodyMemory(settings.memoryBytes ?? usualMemoryBytes, clock, counters);
-  const spread = openSpreadTask(
+  const bodies = openBodyMemory(settings.memoryBytes ?? defaultMemoryBytes, clock, counters);
+  const spread = openGossipTask(
     {
       node: settings.node,
       role: 'router',
@@ -83,7 +83,7 @@
     surroundings,
     linkOptionsOf(settings),
   );
-  const source = openSourceTask('router', settings.node, spread, log, counters, surroundings);
+  const source = openPollerTask('router', settings.node, spread, log, counters, surroundings);
   const core = openCore(spread, surroundings);
   const gate = openRefreshGate(spread, clock, (frozenUs) => {
     counters.count('freezes');
@@ -179,13 +179,13 @@
     },
     stop: async (callers) => {
       isStopping = true;
-      callers?.retire();
+      callers?.closeAfterNewest();
       log.change('stopping', { inFlight: router.inFlight() });
       const stopDueUs = clock.now() + drainBudgetUs;
       await paused(clock, lameDuckUs);
-      callers?.endIdle();
+      callers?.closeIdle();
       isDraining = true;
-      bodies.endWaits();
+      bodies.refuseWaiting();
       while (admission.pendingCount() > 0 && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);
       router.drain();
       const isAnswered = (): boolean => router.inFlight() === 0 && (callers?.unanswered() ?? 0) === 0;
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -32,7 +32,7 @@
 import type { Rule } from '../../setup/document/rule.js';
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 import type { Surroundings } from '../surroundings/surroundings.js';
 import type { RefreshGate } from './refresh-gate.js';
 import { openServerSignals } from './server-signals.js';
@@ -87,7 +87,7 @@
 
 export type RouterTaskDependencies = {
   readonly node: string;
-  readonly spread: SpreadTask;
+  readonly spread: GossipTask;
   readonly gate: RefreshGate;
   readonly log: Log;
   readonly counters: Counters;
--- a/src/process/router/serve-router.ts
+++ b/src/process/router/serve-router.ts
@@ -7,7 +7,7 @@
 export const serveRouter = (node: RouterNode, address: string): HttpServer => {
   const http = openHttpServer(address, node.counters);
   node.spread.events.on('setup', ({ setup }) => {
-    if (setup.callers !== undefined) http.follow(setup.callers);
+    if (setup.callers !== undefined) http.applyTimeLimits(setup.callers);
   });
   addPlatformPaths(http, node.spread, node.counters, node.unreadyReason);
   addExchangePaths(http, node);
--- a/src/process/router/server-reports.ts
+++ b/src/process/router/server-reports.ts
@@ -5,7 +5,7 @@
 import type { ServerKey } from '../../servers/list/server-key.js';
 import type { Frame } from '../../spread/frame/frame.js';
 import type { Counters } from '../counters.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 
 /** Sends this router's observations of servers to the other routers of the fleet. */
 export type ServerReports = {
@@ -30,7 +30,7 @@
 
 /** Opens the reports of one router. */
 export const openServerReports = (
-  spread: Pick<SpreadTask, 'view' | 'send'>,
+  spread: Pick<GossipTask, 'view' | 'send'>,
   clock: Clock,
   counters: Counters,
 ): ServerReports => {
--- a/src/process/router/server-signals.ts
+++ b/src/process/router/server-signals.ts
@@ -11,7 +11,7 @@
 import { openPassiveHealthCheck } from '../../servers/watch/passive-health-check.js';
 import type { Counters } from '../counters.js';
 import type { Log } from '../log.js';
-import type { SpreadTask } from '../spread-task.js';
+import type { GossipTask } from '../gossip-task.js';
 import { openServerReports } from './server-reports.js';
 
 /**
@@ -35,7 +35,7 @@
 };
 
 export type ServerSignalsDependencies = {
-  readonly spread: SpreadTask;
+  readonly spread: GossipTask;
   readonly clock: Clock;
   readonly dial: Dial;
   /** Whether servers are not probed, but watched passively through their connections. */
--- a/src/process/run-control.ts
+++ b/src/process/run-control.ts
@@ -6,11 +6,11 @@
 import { addPlatformPaths } from './http/platform-paths.js';
 import { addQuotaPaths } from './http/quota-paths.js';
 import { openLog } from './log.js';
-import { serveUntilTold } from './serve-until-told.js';
+import { serveUntilStopSignal } from './serve-until-stopped.js';
 import type { ControlSettings } from './settings/control-settings.js';
 import { realSurroundings } from './surroundings/real-surroundings.js';
 
-/** Runs a core machine until it is told to stop. */
+/** Runs a control node until the process receives a stop signal. On a fatal error the process exits with status 3. */
 export const runControl = (settings: ControlSettings): EitherAsync<TypedError, void> => {
   const log = openLog(settings.node);
   const fail = (error: TypedError): void => {
@@ -22,6 +22,6 @@
     addPlatformPaths(http, node.spread, node.counters, node.unready);
     addOperatorPaths(http, node.desk);
     addQuotaPaths(http, node.quotas);
-    return serveUntilTold(http, node);
+    return serveUntilStopSignal(http, node);
   });
 };
--- a/src/process/serve-until-told.ts
+++ b/src/process/serve-until-stopped.ts
@@ -1,16 +1,16 @@
 import { EitherAsync, Right, type Either } from 'purify-ts';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
-import type { CallersAtStop } from './http/caller-connections.js';
+import type { ConnectionDrain } from './http/client-connections.js';
 import type { HttpServer } from './http/http-server.js';
-import { toldToStop } from './told-to-stop.js';
+import { waitForStopSignal } from './stop-signal.js';
 
 type ServedNode = {
   readonly start: () => Promise<void>;
-  readonly stop: (callers: CallersAtStop) => Promise<void>;
+  readonly stop: (clients: ConnectionDrain) => Promise<void>;
 };
 
-/** Serves a node over HTTP until it is due to stop, and ends both in order. */
-export const serveUntilDue = (
+/** Serves a node over HTTP; `stopWhenDue` waits for the moment to stop and then calls its argument, which shuts both down. */
+export const serveUntilStopped = (
   http: HttpServer,
   node: ServedNode,
   stopWhenDue: (stop: () => Promise<void>) => Promise<Either<TypedError, void>>,
@@ -20,7 +20,7 @@
       await http.listen();
       await node.start();
     } catch (thrown) {
-      return throwE(typedError('bad-settings', `can not listen: ${messageOf(thrown)}`));
+      return throwE(typedError('bad-settings', `the node could not start to listen: ${messageOf(thrown)}`));
     }
     const ended = await stopWhenDue(async () => {
       await node.stop(http.callers);
@@ -29,10 +29,10 @@
     return liftEither(ended);
   });
 
-/** Serves a node over HTTP until the process is told to stop. */
-export const serveUntilTold = (http: HttpServer, node: ServedNode): EitherAsync<TypedError, void> =>
-  serveUntilDue(http, node, async (stop) => {
-    await toldToStop();
+/** Serves a node over HTTP until the process receives a stop signal. */
+export const serveUntilStopSignal = (http: HttpServer, node: ServedNode): EitherAsync<TypedError, void> =>
+  serveUntilStopped(http, node, async (stop) => {
+    await waitForStopSignal();
     await stop();
     return Right(undefined);
   });
--- a/src/process/settings/check-settings.ts
+++ b/src/process/settings/check-settings.ts
@@ -8,13 +8,16 @@
 import type { ControlSettings } from './control-settings.js';
 import type { NodeSettings } from './node-settings.js';
 
-const addressForm = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$/;
+const addressPattern = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$/;
 
-const address = () => string().required().matches(addressForm, '${path} must be IP:port');
+const address = () => string().required().matches(addressPattern, '${path} must be IP:port');
 const plainName = () =>
   string()
     .required()
-    .matches(/^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$/, '${path} must be a plain name');
+    .matches(
+      /^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$/,
+      '${path} must be 1 to 63 letters, digits, underscores or dashes, and begin with a letter or digit',
+    );
 
 const areUnique = (values: readonly string[] | undefined): boolean =>
   new Set(values ?? []).size === (values ?? []).length;
@@ -24,7 +27,7 @@
   locality: plainName(),
   http: address(),
   partners: address(),
-  partnersListen: string().optional().matches(addressForm, '${path} must be IP:port'),
+  partnersListen: string().optional().matches(addressPattern, '${path} must be IP:port'),
   fleet: plainName().optional(),
   memoryBytes: number()
     .integer()
@@ -35,7 +38,7 @@
     .required()
     .min(1, 'seeds must be one to three addresses')
     .max(3, 'seeds must be one to three addresses')
-    .test('unique', 'seeds must differ', areUnique),
+    .test('unique', 'seeds must be different addresses', areUnique),
 };
 
 const routerSchema = object(nodeFields).noUnknown();
@@ -72,7 +75,7 @@
 
 const objectSchema = object().required();
 
-/** Reads a settings file, or nothing where none is named. */
+/** Reads a settings file; an empty object if no path is given. */
 export const readSettingsFile = (path: string | undefined): Either<TypedError, object> => {
   if (path === undefined) return Either.of({});
   try {
--- a/src/process/settings/control-settings.ts
+++ b/src/process/settings/control-settings.ts
@@ -1,14 +1,15 @@
 import type { QuotaTolerance } from '../../quota/quota-tolerance.js';
 import type { NodeSettings } from './node-settings.js';
 
-/** The settings of a core machine. */
+/** The settings of a control node. */
 export type ControlSettings = NodeSettings & {
+  /** The folder of its disk ring. */
   readonly data: string;
-  /** Whether it may found a core with the other seeds while its disk is empty; true where it is not told. */
+  /** Whether it may bootstrap a core with the other seeds while its disk is empty; true by default. */
   readonly founds?: boolean;
-  /** How many voters the core is to have; three where it is not told. */
+  /** The number of voters that the core should have; three by default. */
   readonly voters?: number;
-  /** How exactly the quotas of tenants are kept; `usualTolerance` where it is not told. */
+  /** How precisely the quotas of tenants are enforced; `defaultTolerance` by default. */
   readonly quota?: QuotaTolerance;
   readonly ringFiles: number;
   readonly ringFileBytes: number;
--- a/src/process/settings/node-settings.ts
+++ b/src/process/settings/node-settings.ts
@@ -1,26 +1,25 @@
 import type { LinkOptions } from '../../spread/link/link-options.js';
 
-/** The settings that every process has. */
+/** The settings that routers and control nodes have in common. */
 export type NodeSettings = {
   readonly node: string;
   readonly locality: string;
-  /** Where callers, operators and the platform reach it. */
+  /** The address at which clients, operators and the platform reach it. */
   readonly http: string;
-  /** Where its partners reach it. */
+  /** The address at which its peers reach it. */
   readonly partners: string;
-  /** Where it listens for them, if an address translation stands before it. */
+  /** The address to listen at for peers, if it differs because of address translation (NAT). */
   readonly partnersListen?: string;
   readonly seeds: readonly string[];
-  /** The name of its fleet; nodes of other fleets are not listened to. One name for all where it is not told. */
+  /** The name of its fleet; frames of other fleets are dropped. Nodes without a name are in one fleet. */
   readonly fleet?: string;
-  /** The memory that the process may use; `usualMemoryBytes` where it is not told. */
+  /** The memory that the process may use; `defaultMemoryBytes` by default. */
   readonly memoryBytes?: number;
 };
 
-/** The memory of a process that is told no bound. */
-export const usualMemoryBytes = 256 << 20;
+export const defaultMemoryBytes = 256 << 20;
 
-/** What the links of a node are told. */
+/** The options of the links between a node and its peers. */
 export const linkOptionsOf = ({ partnersListen, fleet }: NodeSettings): LinkOptions => ({
   ...(partnersListen === undefined ? {} : { listenAddress: partnersListen }),
   ...(fleet === undefined ? {} : { fleet }),
--- a/src/process/surroundings/real-surroundings.ts
+++ b/src/process/surroundings/real-surroundings.ts
@@ -3,15 +3,15 @@
 import { openRingFolder } from '../../disk/open-folder.js';
 import { openServerLink } from '../../servers/link/open-link.js';
 import { openTcpLinks } from '../../spread/link/tcp-links.js';
-import { listenForDiskTrouble } from '../rehearsed-disk.js';
+import { receiveDiskTrouble } from '../rehearsed-disk.js';
 import type { Surroundings } from './surroundings.js';
 
-/** The world as a real process has it. */
+/** The dependencies of a real process: monotonic clock, TCP links and files. */
 export const realSurroundings: Surroundings = {
   clock: steadyClock,
   chance: () => Math.random(),
   freshName: () => randomBytes(6).toString('hex'),
   openPartnerLinks: openTcpLinks,
   dial: openServerLink,
-  openRing: (folder, sizes) => openRingFolder(folder, sizes, listenForDiskTrouble()),
+  openRing: (folder, sizes) => openRingFolder(folder, sizes, receiveDiskTrouble()),
 };
--- a/src/process/surroundings/surroundings.ts
+++ b/src/process/surroundings/surroundings.ts
@@ -10,19 +10,19 @@
 import type { PeerLinks } from '../../spread/link/peer-links.js';
 
 /**
- * All that the tasks of a process have of the world. A real process gives them sockets, the steady clock and files; the
- * simulator gives the same tasks stand-ins of these, and of nothing else.
+ * The external dependencies of the tasks of a process: clock, randomness, network and disk. A real process passes sockets,
+ * the monotonic clock and files; the simulator runs the same tasks on simulated ones. Tasks use no other.
  */
 export type Surroundings = {
   readonly clock: Clock;
   readonly chance: Chance;
-  /** A name that nothing else ever had. */
+  /** Returns a globally unique name. */
   readonly freshName: () => string;
   readonly openPartnerLinks: (address: string, options?: LinkOptions) => PeerLinks;
   readonly dial: Dial;
-  /** Whether servers are known by the fleet's own exchanges alone, where probes are dear. */
+  /** Whether server health is judged by the fleet's own exchanges alone, since probes are expensive. */
   readonly probesNothing?: boolean;
-  /** Where the platform's list is asked for; none where the platform tells it. */
+  /** Where the server list is polled; undefined if the platform pushes it. */
   readonly listSource?: ListSource;
   readonly openRing: (folder: string, sizes: RingSizes) => EitherAsync<TypedError, DiskRing>;
 };
--- a/src/sim/core/core-fleet.ts
+++ b/src/sim/core/core-fleet.ts
@@ -2,7 +2,7 @@
 import { openCoreClient, type CoreClient } from '../../process/core-client.js';
 import { openCounters } from '../../process/counters.js';
 import type { Log } from '../../process/log.js';
-import { openSpreadTask } from '../../process/spread-task.js';
+import { openGossipTask } from '../../process/gossip-task.js';
 import { openSimNode } from '../process/sim-node.js';
 import { simSurroundingsOf, type SimCommons } from '../process/sim-surroundings.js';
 import { openNetwork } from '../world/network.js';
@@ -47,7 +47,7 @@
   };
   const fleet = openCoreIn(commons, ringFileBytes, shape);
   const surroundings = simSurroundingsOf(commons, 'client', 'client:1', openSimNode(world).begin());
-  const spread = openSpreadTask(
+  const spread = openGossipTask(
     { node: 'client', role: 'router', address: 'client:1', http: 'client:1/http', locality: 'a' },
     fleet.machines.map((machine) => machine.address()),
     quietLog,
--- a/src/sim/fleet/sim-platform.ts
+++ b/src/sim/fleet/sim-platform.ts
@@ -7,7 +7,7 @@
 import { setupDigestOf } from '../../setup/document/setup-digest.js';
 import type { Network } from '../world/network.js';
 import type { World } from '../world/world.js';
-import type { SpreadTask } from '../../process/spread-task.js';
+import type { GossipTask } from '../../process/gossip-task.js';
 import type { SimNode } from '../process/sim-node.js';
 import type { SimRouter } from './sim-router.js';
 
@@ -23,7 +23,7 @@
 export type Reachable = {
   readonly address: () => string;
   readonly node: SimNode;
-  readonly spread: () => SpreadTask | undefined;
+  readonly spread: () => GossipTask | undefined;
 };
 
 const probeUs = 200_000;
--- a/tests/control/core-client.test.ts
+++ b/tests/control/core-client.test.ts
@@ -5,7 +5,7 @@
 import type { CoreReply } from '../../src/control/machine/core-reply.js';
 import { openCoreClient } from '../../src/process/core-client.js';
 import { openCounters } from '../../src/process/counters.js';
-import { openSpreadTask } from '../../src/process/spread-task.js';
+import { openGossipTask } from '../../src/process/gossip-task.js';
 import { openSimNode } from '../../src/sim/process/sim-node.js';
 import type { SimPorts } from '../../src/sim/process/sim-ports.js';
 import { simSurroundingsOf } from '../../src/sim/process/sim-surroundings.js';
@@ -29,7 +29,7 @@
     'a:1',
     openSimNode(world).begin(),
   );
-  const spread = openSpreadTask(
+  const spread = openGossipTask(
     { node: 'a', role: 'router', address: 'a:1', http: 'a:1/http', locality: 'a' },
     ['core:1'],
     { change: () => undefined },
--- a/tests/control/durable-writer.test.ts
+++ b/tests/control/durable-writer.test.ts
@@ -12,7 +12,7 @@
 import { openDiskRing } from '../../src/disk/disk-ring.js';
 import { openDurableWriter } from '../../src/process/control/durable-writer.js';
 import { openReplica } from '../../src/process/control/open-replica.js';
-import { openWithRetry, reopenUs } from '../../src/process/control/open-ring.js';
+import { openWithRetry, reopenDelayUs } from '../../src/process/control/open-ring.js';
 import { openCounters } from '../../src/process/counters.js';
 import { openMemoryFiles } from '../../src/sim/disk/memory-files.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
@@ -115,7 +115,7 @@
     clock,
     { change: () => undefined },
   ).run();
-  await world.playUntil(reopenUs * 4);
+  await world.playUntil(reopenDelayUs * 4);
   assert.is((await opened).unsafeCoerce(), 'open');
   assert.is(attempts, 4);
   let damagedAttempts = 0;
--- a/tests/control/invariants.test.ts
+++ b/tests/control/invariants.test.ts
@@ -7,7 +7,7 @@
 import { createReplica, type Replica } from '../../src/control/machine/replica.js';
 import { stepControl } from '../../src/control/machine/step.js';
 import { openCounters } from '../../src/process/counters.js';
-import { openSpreadTask } from '../../src/process/spread-task.js';
+import { openGossipTask } from '../../src/process/gossip-task.js';
 import { openCoreRules } from '../../src/sim/core/core-rules.js';
 import { openCoreFleet } from '../../src/sim/core/core-fleet.js';
 import { openWorld } from '../../src/sim/world/world.js';
@@ -152,7 +152,7 @@
   const victim = fleet.machines.find((machine) => machine.replica().role === 'follower');
   assert.ok(victim !== undefined && victim.replica().commit >= 2);
   const surroundings = simSurroundingsOf(fleet, 'forger', 'forger:1', openSimNode(world).begin());
-  const forger = openSpreadTask(
+  const forger = openGossipTask(
     { node: 'forger', role: 'router', address: 'forger:1', http: 'forger:1/http', locality: 'a' },
     [victim.address()],
     { change: () => undefined },
--- a/tests/platform/event-splitter.test.ts
+++ b/tests/platform/event-splitter.test.ts
@@ -10,7 +10,7 @@
     (event, number) => void told.push([Buffer.from(event).toString('latin1'), number]),
   );
   for (const chunk of chunks) splitter.put(Buffer.from(chunk, 'latin1'));
-  return { told, hasRest: splitter.hasRest() };
+  return { told, hasRest: splitter.hasIncompleteEvent() };
 };
 
 const cutEverywhere = (events: Told): void => {
--- a/tests/platform/limits.test.ts
+++ b/tests/platform/limits.test.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { openCallerTimeLimits } from '../../src/process/http/caller-time-limits.js';
+import { openClientTimeLimits } from '../../src/process/http/client-time-limits.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import type { CallerLimits } from '../../src/setup/document/caller-limits.js';
 import type { Edge } from './raw/open-edge.js';
@@ -75,8 +75,8 @@
 test('a connection at rest takes a longer rest at once, and one with a request under way has none', async () => {
   const [port = 0] = await freePorts(1);
   const server = createServer();
-  const limits = openCallerTimeLimits(server, 30_000_000);
-  limits.follow({ headUs: 3_000_000, idleUs: 5_000_000 });
+  const limits = openClientTimeLimits(server, 30_000_000);
+  limits.apply({ headUs: 3_000_000, idleUs: 5_000_000 });
   const accepted: Socket[] = [];
   server.on('connection', (socket) => accepted.push(socket));
   server.on('request', (message, response) => {
@@ -91,13 +91,13 @@
     await once(client, 'data');
     await seen(() => (accepted[0]?.timeout ?? 0) >= 5_000);
     assert.ok((accepted[0]?.timeout ?? 0) < 60_000);
-    limits.follow({ headUs: 9_000_000, idleUs: 60_000_000 });
+    limits.apply({ headUs: 9_000_000, idleUs: 60_000_000 });
     assert.equal([server.headersTimeout, server.requestTimeout], [9_000, 30_000]);
     assert.is(accepted[0]?.timeout, 60_000);
     client.write('GET /stays HTTP/1.1\r\nHost: a\r\n\r\n');
     await once(client, 'data');
     assert.is(accepted[0]?.timeout, 0);
-    limits.follow({ headUs: 3_000_000, idleUs: 1_000 });
+    limits.apply({ headUs: 3_000_000, idleUs: 1_000 });
     assert.is(accepted[0]?.timeout, 0);
   } finally {
     client.destroy();
--- a/tests/platform/raw/open-edge.ts
+++ b/tests/platform/raw/open-edge.ts
@@ -1,6 +1,6 @@
 import { createConnection, type Socket } from 'node:net';
 import { Right } from 'purify-ts';
-import { openCallerServer } from '../../../platform/caller/serve-callers.js';
+import { openEdgeServer } from '../../../platform/client/edge-server.js';
 import { setupOfDocument } from '../../../platform/operator/setup-of-document.js';
 import { dialServer } from '../../../platform/server/dial.js';
 import { paused } from '../../../src/common/clock/paused.js';
@@ -12,7 +12,7 @@
 import type { CoreClient } from '../../../src/process/core-client.js';
 import type { Log } from '../../../src/process/log.js';
 import { openRouterNode, type RouterNode } from '../../../src/process/router/router-node.js';
-import { usualMemoryBytes } from '../../../src/process/settings/node-settings.js';
+import { defaultMemoryBytes } from '../../../src/process/settings/node-settings.js';
 import { realSurroundings } from '../../../src/process/surroundings/real-surroundings.js';
 import { freePorts } from '../../../src/rehearsal/launcher/free-ports.js';
 import type { ListedServer } from '../../../src/servers/list/listed-server.js';
@@ -161,7 +161,7 @@
   core: CoreClient = coreWith(edgeDocument),
   waitsForCore = true,
   log: Log = { change: () => undefined },
-  memoryBytes: number = usualMemoryBytes,
+  memoryBytes: number = defaultMemoryBytes,
 ): Promise<Edge> => {
   const [edgePort = 0, partnerPort] = await freePorts(2);
   const http = `127.0.0.1:${edgePort}`;
@@ -172,7 +172,7 @@
     surroundings: { ...realSurroundings, dial: dialServer, probesNothing: true },
     openCore: () => core,
   });
-  const server = openCallerServer(http, node);
+  const server = openEdgeServer(http, node);
   const { callers } = server;
   const sockets: Socket[] = [];
   let version = 0;
@@ -192,8 +192,8 @@
       node.spread.offerList({ version, atUs: steadyNow() + version, servers });
     },
     retire: () => {
-      callers.retire();
-      callers.endIdle();
+      callers.closeAfterNewest();
+      callers.closeIdle();
     },
     stop: async () => {
       await node.stop(callers);
--- a/tests/platform/stand-in/open-platform-server.ts
+++ b/tests/platform/stand-in/open-platform-server.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { buffer } from 'node:stream/consumers';
-import { readOpening } from '../../../platform/caller/read-opening.js';
+import { parsePromptPrefix } from '../../../platform/client/parse-prompt-prefix.js';
 import { steadyClock } from '../../../src/common/clock/steady-clock.js';
 import { steadyNow, type Micros } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
@@ -135,7 +135,7 @@
     desk.take(
       {
         name: arrival.attempt,
-        opening: readOpening(textOf(message, 'ledgehill-prompt-prefix')),
+        opening: parsePromptPrefix(textOf(message, 'ledgehill-prompt-prefix')),
         readTokens: read,
         writeTokens: write,
         fromPiece: after,
--- a/tests/quota/quota-store.test.ts
+++ b/tests/quota/quota-store.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { createReplica, type Replica } from '../../src/control/machine/replica.js';
-import { grantLeaseUs, mayGrant } from '../../src/process/control/quota-store-task.js';
+import { grantLeaseUs, canGrant } from '../../src/process/control/quota-store-task.js';
 import { fleetBucketLimitsOf } from '../../src/quota/bucket-share.js';
 import type { QuotaReply } from '../../src/quota/quota-messages.js';
 import { initialQuotaStore, type QuotaStoreState } from '../../src/quota/store/quota-store-state.js';
@@ -86,12 +86,12 @@
     leaderContactUs: 5 * second,
     snapshot: { ...createReplica('me', 'a:1', []).snapshot, members: [member] },
   };
-  assert.ok(mayGrant(replica, 5 * second + grantLeaseUs - 1));
-  assert.not.ok(mayGrant(replica, 5 * second + grantLeaseUs));
-  assert.ok(mayGrant({ ...replica, role: 'leader' }, 60 * second));
-  assert.not.ok(mayGrant({ ...replica, isLeaving: true }, 5 * second));
+  assert.ok(canGrant(replica, 5 * second + grantLeaseUs - 1));
+  assert.not.ok(canGrant(replica, 5 * second + grantLeaseUs));
+  assert.ok(canGrant({ ...replica, role: 'leader' }, 60 * second));
+  assert.not.ok(canGrant({ ...replica, isLeaving: true }, 5 * second));
   const learner = { ...replica, snapshot: { ...replica.snapshot, members: [{ ...member, voter: false }] } };
-  assert.not.ok(mayGrant(learner, 5 * second));
+  assert.not.ok(canGrant(learner, 5 * second));
 });
 
 test('a request is charged for each attempt that may have run, and refunded if none was sent', () => {
--- a/tests/router/failure-report.test.ts
+++ b/tests/router/failure-report.test.ts
@@ -4,8 +4,8 @@
 import { typedError } from '../../src/common/typed-error.js';
 import type { CoreClient } from '../../src/process/core-client.js';
 import { openCounters } from '../../src/process/counters.js';
-import { openFailureReport, reportSpanUs } from '../../src/process/failure-report.js';
-import { countedOperatorService } from '../../src/process/operator/counted-operator-service.js';
+import { openFailureReport, reportIntervalUs } from '../../src/process/failure-report.js';
+import { instrumentedOperatorService } from '../../src/process/operator/instrumented-operator-service.js';
 import { openOperatorService } from '../../src/process/operator/operator-service.js';
 import { openSimNode } from '../../src/sim/process/sim-node.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
@@ -25,11 +25,11 @@
   const { lines, log } = openRecordingLog();
   const report = openFailureReport(clock, log, counters, () => ({ revision: 7 }));
   counters.count('exchanges.done', 5);
-  await world.playUntil(2 * reportSpanUs);
+  await world.playUntil(2 * reportIntervalUs);
   assert.equal(lines, []);
   counters.count('refused.no-server', 2);
   counters.count('tries.failed.link-lost');
-  await world.playUntil(4 * reportSpanUs);
+  await world.playUntil(4 * reportIntervalUs);
   const failures = { 'refused.no-server': 2, 'tries.failed.link-lost': 1 };
   assert.equal(lines, [{ what: 'failures', facts: { failures, revision: 7 } }]);
   counters.count('refused.no-server');
@@ -44,7 +44,7 @@
   return {
     counters,
     lines,
-    service: countedOperatorService(
+    service: instrumentedOperatorService(
       openOperatorService(core, () => 0),
       counters,
       log,
--- a/tests/router/loop-delay.test.ts
+++ b/tests/router/loop-delay.test.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../../src/common/clock/clock.js';
 import type { Micros } from '../../src/common/micros.js';
 import { openCounters } from '../../src/process/counters.js';
-import { loopLookSpanUs, openLoopDelay } from '../../src/process/loop-delay.js';
+import { loopSampleIntervalUs, openLoopDelay } from '../../src/process/loop-delay.js';
 
 /** A clock whose timers fire only at `fireAt`, so that a test can loopDelay them. */
 const openLateClock = (): Clock & { readonly fireAt: (nowUs: Micros) => void } => {
@@ -32,8 +32,8 @@
   const clock = openLateClock();
   const counters = openCounters();
   const loopDelay = openLoopDelay(clock, counters);
-  clock.fireAt(loopLookSpanUs);
-  clock.fireAt(2 * loopLookSpanUs + 7_000_000);
+  clock.fireAt(loopSampleIntervalUs);
+  clock.fireAt(2 * loopSampleIntervalUs + 7_000_000);
   const { 'loop.delayUs.max': maxUs = 0, 'loop.delayUs.mean': meanUs = 0 } = counters.read();
   assert.ok(maxUs >= 7_000_000 && maxUs < 7_100_000, `${maxUs}`);
   assert.ok(meanUs > 3_000_000 && meanUs < 4_000_000, `${meanUs}`);
--- a/tests/router/server-reports.test.ts
+++ b/tests/router/server-reports.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { readLoad } from '../../platform/server/read-load.js';
+import { parseServerLoad } from '../../platform/server/parse-server-load.js';
 import { openCounters } from '../../src/process/counters.js';
 import { openServerReports } from '../../src/process/router/server-reports.js';
 import type { Frame } from '../../src/spread/frame/frame.js';
@@ -82,10 +82,10 @@
 });
 
 test('a load is parsed only if all three numbers are present and valid', () => {
-  assert.equal(readLoad('3,0,8'), { running: 3, waiting: 0, slots: 8 });
-  assert.equal(readLoad(' 3 , 1 , 8 '), { running: 3, waiting: 1, slots: 8 });
+  assert.equal(parseServerLoad('3,0,8'), { running: 3, waiting: 0, slots: 8 });
+  assert.equal(parseServerLoad(' 3 , 1 , 8 '), { running: 3, waiting: 1, slots: 8 });
   for (const text of [undefined, '', '3,0', '3,0,8,1', '-1,0,8', '3,x,8', '3.5,0,8'])
-    assert.is(readLoad(text), undefined);
+    assert.is(parseServerLoad(text), undefined);
 });
 
 test.run();
--- a/tests/servers/polling-group.ts
+++ b/tests/servers/polling-group.ts
@@ -2,8 +2,8 @@
 import { paused } from '../../src/common/clock/paused.js';
 import { typedError } from '../../src/common/typed-error.js';
 import { openCounters, type Counters } from '../../src/process/counters.js';
-import { openSourceTask, type SourceTask } from '../../src/process/source-task.js';
-import { openSpreadTask, type SpreadTask } from '../../src/process/spread-task.js';
+import { openPollerTask, type PollerTask } from '../../src/process/poller-task.js';
+import { openGossipTask, type GossipTask } from '../../src/process/gossip-task.js';
 import type { ServerList } from '../../src/servers/list/server-list.js';
 import type { ListSource } from '../../src/servers/source/list-source.js';
 import type { PolledServer } from '../../src/servers/source/polled-server.js';
@@ -17,8 +17,8 @@
   readonly name: string;
   readonly address: string;
   readonly sim: SimNode;
-  readonly spread: SpreadTask;
-  readonly source: SourceTask;
+  readonly spread: GossipTask;
+  readonly source: PollerTask;
   readonly counters: Counters;
   /** The lists that the node passed to its routing decisions. */
   readonly lists: ServerList[];
@@ -82,14 +82,14 @@
     const role = name.startsWith('c') ? 'control' : 'router';
     const counters = openCounters();
     const log = { change: () => undefined };
-    const spread = openSpreadTask(
+    const spread = openGossipTask(
       { node: name, role, address, http: `${address}/http`, locality: 'a' },
       seeds,
       log,
       counters,
       surroundings,
     );
-    const source = openSourceTask(role, name, spread, log, counters, surroundings);
+    const source = openPollerTask(role, name, spread, log, counters, surroundings);
     const lists: ServerList[] = [];
     spread.events.on('list', (list) => lists.push(list));
     void spread.start();
--- a/tests/spread/spread.test.ts
+++ b/tests/spread/spread.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { openCounters } from '../../src/process/counters.js';
-import { openSpreadTask, type SpreadTask } from '../../src/process/spread-task.js';
+import { openGossipTask, type GossipTask } from '../../src/process/gossip-task.js';
 import { openSimNode } from '../../src/sim/process/sim-node.js';
 import type { SimPorts } from '../../src/sim/process/sim-ports.js';
 import { simSurroundingsOf } from '../../src/sim/process/sim-surroundings.js';
@@ -24,7 +24,7 @@
   readonly world: World;
   readonly network: Network;
   readonly ports: SimPorts;
-  readonly spreads: readonly SpreadTask[];
+  readonly spreads: readonly GossipTask[];
   readonly counts: Map<string, number>;
   readonly addresses: readonly string[];
 };
@@ -44,7 +44,7 @@
       openSimNode(world).begin(),
     );
     const node = address.slice(0, -2);
-    const spread = openSpreadTask(
+    const spread = openGossipTask(
       { node, role: 'router', address, http: `${address}/http`, locality: 'a' },
       addresses.slice(0, 3),
       { change: () => undefined },
