--- a/src/common/clock/time-bound.ts
+++ b/src/common/clock/time-bound.ts
@@ -1,25 +1,28 @@
 import type { Micros } from '../micros.js';
 
-/** Another time line as far as it is certain: it had come at least so far when the own steady clock showed `atUs`. */
-export type TimeBound = {
+/** A lower bound of another clock: it showed at least `reachedUs` when the local monotonic clock showed `atUs`. */
+export type ClockLowerBound = {
   readonly reachedUs: Micros;
   readonly atUs: Micros;
 };
 
-/** Steady clocks are trusted to run fast by no more than this, in parts of a million. */
-export const mostDrift = 500;
+/** The assumed maximum rate error of a monotonic clock that runs fast, in parts per million. */
+export const maxDriftPpm = 500;
 
-/** Spans in which a process did not run, or its clock jumped, are not told apart; none so long counts as time. */
-export const longestStepUs: Micros = 700_000;
+/**
+ * A step of the clock of this length or more does not count as elapsed time, since a suspended process can not be told
+ * from a clock that jumped.
+ */
+export const maxClockStepUs: Micros = 700_000;
 
-/** How far the time line has come at least at a later moment. */
-export const boundAt = (bound: TimeBound, atUs: Micros): Micros =>
-  bound.reachedUs + Math.floor(((atUs - bound.atUs) * (1_000_000 - mostDrift)) / 1_000_000);
+/** The lower bound of the other clock at a later local time. */
+export const lowerBoundAt = (bound: ClockLowerBound, atUs: Micros): Micros =>
+  bound.reachedUs + Math.floor(((atUs - bound.atUs) * (1_000_000 - maxDriftPpm)) / 1_000_000);
 
-/** The greater of what is known and what is heard; it never goes back. */
-export const raisedBound = (bound: TimeBound | undefined, reachedUs: Micros, atUs: Micros): TimeBound =>
-  bound !== undefined && boundAt(bound, atUs) >= reachedUs ? bound : { reachedUs, atUs };
+/** The bound after a report that the other clock has reached `reachedUs`; the bound never decreases. */
+export const raiseBound = (bound: ClockLowerBound | undefined, reachedUs: Micros, atUs: Micros): ClockLowerBound =>
+  bound !== undefined && lowerBoundAt(bound, atUs) >= reachedUs ? bound : { reachedUs, atUs };
 
-/** The bound when a span up to now does not count. */
-export const withoutSpan = (bound: TimeBound | undefined, spanUs: Micros): TimeBound | undefined =>
+/** The bound after `spanUs` of local time that must not count as elapsed. */
+export const withoutElapsed = (bound: ClockLowerBound | undefined, spanUs: Micros): ClockLowerBound | undefined =>
   bound === undefined ? undefined : { ...bound, atUs: bound.atUs + spanUs };
--- a/src/control/state/document-history.ts
+++ b/src/control/state/document-history.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { emptyBoundedMap, remember, type BoundedMap } from '../../common/bounded-map.js';
+import { emptyBoundedMap, setBounded, type BoundedMap } from '../../common/bounded-map.js';
 import type { Original } from '../../setup/document/original.js';
 
 /**
@@ -49,7 +49,7 @@
   version: number,
   document: CommittedDocument,
 ): DocumentHistory => {
-  const { map, evicted } = remember(history.committed, version, document, maxRememberedDocuments);
+  const { map, evicted } = setBounded(history.committed, version, document, maxRememberedDocuments);
   return {
     committed: map,
     forgottenVersion: Math.max(history.forgottenVersion, ...evicted.map(([evictedVersion]) => evictedVersion)),
--- a/src/control/state/proposal-history.ts
+++ b/src/control/state/proposal-history.ts
@@ -1,4 +1,4 @@
-import { emptyBoundedMap, remember, type BoundedMap } from '../../common/bounded-map.js';
+import { emptyBoundedMap, setBounded, type BoundedMap } from '../../common/bounded-map.js';
 import type { ProposalOutcome } from './proposal-outcome.js';
 
 /** How many decided proposals are remembered: four days of 1,000 changes each. */
@@ -19,7 +19,7 @@
   proposal: string,
   outcome: ProposalOutcome,
 ): ProposalHistory => {
-  const { map, evicted } = remember(history.outcomes, proposal, outcome, maxRememberedProposals);
+  const { map, evicted } = setBounded(history.outcomes, proposal, outcome, maxRememberedProposals);
   const evictedRevisions = evicted.map(([, evictedOutcome]) => evictedOutcome.revision);
   return { outcomes: map, forgottenRevision: Math.max(history.forgottenRevision, ...evictedRevisions) };
 };
--- a/src/control/state/refused-proposals.ts
+++ b/src/control/state/refused-proposals.ts
@@ -1,4 +1,4 @@
-import { emptyBoundedMap, remember, type BoundedMap } from '../../common/bounded-map.js';
+import { emptyBoundedMap, setBounded, type BoundedMap } from '../../common/bounded-map.js';
 import type { Micros } from '../../common/micros.js';
 
 /**
@@ -36,4 +36,4 @@
   refusals: RefusedProposals,
   proposal: DocumentProposal,
   clockUs: Micros,
-): RefusedProposals => remember(refusals, keyOf(proposal), clockUs, maxRefusedProposals).map;
+): RefusedProposals => setBounded(refusals, keyOf(proposal), clockUs, maxRefusedProposals).map;
--- a/src/control/wire/durable-record-codec.ts
+++ b/src/control/wire/durable-record-codec.ts
@@ -1,9 +1,9 @@
 import { deserialize, serialize } from 'bson';
 import { Either, Left, Right } from 'purify-ts';
 import { array, boolean, mixed, number, object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { messageOf, typedError, type TypedError } from '../../common/typed-error.js';
-import { typed, unionGuard } from '../../common/union.js';
+import { literalType, unionGuard } from '../../common/union.js';
 import type { DurableRecord } from '../log/durable-record.js';
 import { entriesSchema } from './entry-schema.js';
 import { decodeSnapshot, encodeSnapshot, snapshotSchema, type PlainSnapshot } from './snapshot-codec.js';
@@ -13,15 +13,15 @@
   Exclude<DurableRecord, SnapshotRecord> | { readonly type: 'snapshot'; readonly snapshot: PlainSnapshot };
 
 const isPlainRecord = unionGuard<PlainRecord>({
-  identity: object({ type: typed('identity'), identity: string().required(), founds: boolean().optional() }),
-  offer: object({ type: typed('offer'), offer: string().required() }),
+  identity: object({ type: literalType('identity'), identity: string().required(), founds: boolean().optional() }),
+  offer: object({ type: literalType('offer'), offer: string().required() }),
   vote: object({
-    type: typed('vote'),
+    type: literalType('vote'),
     term: number().required().integer().min(0),
     votedFor: string().optional().default(undefined),
   }),
-  entries: object({ type: typed('entries'), entries: entriesSchema }),
-  snapshot: object({ type: typed('snapshot'), snapshot: snapshotSchema }),
+  entries: object({ type: literalType('entries'), entries: entriesSchema }),
+  snapshot: object({ type: literalType('snapshot'), snapshot: snapshotSchema }),
 });
 
 const batchSchema = object({ records: array(mixed(isPlainRecord).required()).required() }).required();
@@ -36,7 +36,7 @@
 /** Decodes a batch of persisted records; a batch that can't be parsed or validated is a `damaged-disk` error. */
 export const decodeDurableRecords = (bytes: Uint8Array): Either<TypedError, readonly DurableRecord[]> => {
   try {
-    return checked(batchSchema, deserialize(bytes))
+    return validate(batchSchema, deserialize(bytes))
       .mapLeft((faults) => typedError('damaged-disk', 'a persisted record does not match its schema', faults))
       .map(({ records }) =>
         records.map((record) =>
--- a/src/control/wire/message-codec.ts
+++ b/src/control/wire/message-codec.ts
@@ -1,5 +1,5 @@
 import { boolean, number, object, string } from 'yup';
-import { typed, unionGuard } from '../../common/union.js';
+import { literalType, unionGuard } from '../../common/union.js';
 import type { ControlMessage } from '../machine/message.js';
 import { maxSnapshotPieceChars } from '../machine/parameters.js';
 import { entriesSchema } from './entry-schema.js';
@@ -17,7 +17,7 @@
 /** Validates a received control message, with the size limits of snapshot pieces. */
 export const isPlainMessage = unionGuard<PlainMessage>({
   probe: object({
-    type: typed('probe'),
+    type: literalType('probe'),
     identity: name(),
     address: name(),
     founded: boolean().required(),
@@ -26,7 +26,7 @@
     offer: offer(),
   }),
   probeReply: object({
-    type: typed('probeReply'),
+    type: literalType('probeReply'),
     identity: name(),
     address: name(),
     founded: boolean().required(),
@@ -34,31 +34,31 @@
     nonce: name(),
     offer: offer(),
   }),
-  join: object({ type: typed('join'), identity: name(), address: name() }),
-  leave: object({ type: typed('leave'), identity: name() }),
-  identify: object({ type: typed('identify'), nonce: name() }),
-  identified: object({ type: typed('identified'), nonce: name(), identity: name(), address: name() }),
+  join: object({ type: literalType('join'), identity: name(), address: name() }),
+  leave: object({ type: literalType('leave'), identity: name() }),
+  identify: object({ type: literalType('identify'), nonce: name() }),
+  identified: object({ type: literalType('identified'), nonce: name(), identity: name(), address: name() }),
   preVote: object({
-    type: typed('preVote'),
+    type: literalType('preVote'),
     term: nonNegativeInteger(),
     lastIndex: nonNegativeInteger(),
     lastTerm: nonNegativeInteger(),
   }),
   preVoteReply: object({
-    type: typed('preVoteReply'),
+    type: literalType('preVoteReply'),
     term: nonNegativeInteger(),
     granted: boolean().required(),
     forTerm: nonNegativeInteger(),
   }),
   vote: object({
-    type: typed('vote'),
+    type: literalType('vote'),
     term: nonNegativeInteger(),
     lastIndex: nonNegativeInteger(),
     lastTerm: nonNegativeInteger(),
   }),
-  voteReply: object({ type: typed('voteReply'), term: nonNegativeInteger(), granted: boolean().required() }),
+  voteReply: object({ type: literalType('voteReply'), term: nonNegativeInteger(), granted: boolean().required() }),
   append: object({
-    type: typed('append'),
+    type: literalType('append'),
     term: nonNegativeInteger(),
     previousIndex: nonNegativeInteger(),
     previousTerm: nonNegativeInteger(),
@@ -67,14 +67,14 @@
     round: nonNegativeInteger(),
   }),
   appendReply: object({
-    type: typed('appendReply'),
+    type: literalType('appendReply'),
     term: nonNegativeInteger(),
     matches: boolean().required(),
     index: number().required().integer(),
     round: nonNegativeInteger(),
   }),
   installSnapshot: object({
-    type: typed('installSnapshot'),
+    type: literalType('installSnapshot'),
     term: nonNegativeInteger(),
     snapshotIndex: nonNegativeInteger(),
     snapshotTerm: nonNegativeInteger(),
@@ -85,12 +85,12 @@
     round: nonNegativeInteger(),
   }),
   installSnapshotReply: object({
-    type: typed('installSnapshotReply'),
+    type: literalType('installSnapshotReply'),
     term: nonNegativeInteger(),
     snapshotIndex: nonNegativeInteger(),
     offset: nonNegativeInteger(),
     received: nonNegativeInteger().max(maxSnapshotChars),
     round: nonNegativeInteger(),
   }),
-  timeoutNow: object({ type: typed('timeoutNow'), term: nonNegativeInteger() }),
+  timeoutNow: object({ type: literalType('timeoutNow'), term: nonNegativeInteger() }),
 });
--- a/src/control/wire/snapshot-text.ts
+++ b/src/control/wire/snapshot-text.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { Left, type Either } from 'purify-ts';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { messageOf, typedError, type TypedError } from '../../common/typed-error.js';
 import type { Snapshot } from '../log/snapshot.js';
 import { decodeSnapshot, encodeSnapshot, snapshotSchema } from './snapshot-codec.js';
@@ -35,7 +35,7 @@
 export const decodeSnapshotText = (text: string, digest: string): Either<TypedError, Snapshot> => {
   if (digestOf(text) !== digest) return Left(typedError('bad-message', 'the snapshot text does not match its digest'));
   try {
-    return checked(snapshotSchema, JSON.parse(text))
+    return validate(snapshotSchema, JSON.parse(text))
       .mapLeft((faults) => typedError('bad-message', 'the snapshot does not match its schema', faults))
       .map(decodeSnapshot);
   } catch (thrown) {
--- a/src/decision/hotness/hotness.ts
+++ b/src/decision/hotness/hotness.ts
@@ -1,4 +1,4 @@
-import { leastKeys } from '../../common/least-keys.js';
+import { lowestRankedKeys } from '../../common/lowest-ranked-keys.js';
 import type { Micros } from '../../common/micros.js';
 import { emptyMap, type PersistentMap } from '../../common/persistent-map.js';
 import { positionEnd, type Position } from '../ring/position.js';
@@ -27,7 +27,7 @@
 
 /** Evicts an eighth at once, so that one ranking of the prefixes makes room for many new ones. */
 const evictColdest = ({ prefixes, arcs }: Hotness, atUs: Micros): Hotness => {
-  const evictedPrefixes = new Set(leastKeys(prefixes, maxPrefixes / 8, (hotPrefix) => scoreAt(hotPrefix, atUs)));
+  const evictedPrefixes = new Set(lowestRankedKeys(prefixes, maxPrefixes / 8, (hotPrefix) => scoreAt(hotPrefix, atUs)));
   const affectedArcs = new Set([...evictedPrefixes].flatMap((prefix) => arcAt(prefixes.get(prefix)?.position ?? 0)));
   return {
     prefixes: prefixes.deleteAll(evictedPrefixes),
--- a/src/decision/machine/step/cached-prefixes.ts
+++ b/src/decision/machine/step/cached-prefixes.ts
@@ -1,4 +1,4 @@
-import { leastKeys } from '../../../common/least-keys.js';
+import { lowestRankedKeys } from '../../../common/lowest-ranked-keys.js';
 import type { Micros } from '../../../common/micros.js';
 import { emptyMap, type PersistentMap } from '../../../common/persistent-map.js';
 import type { ServerKey } from '../../../servers/list/server-key.js';
@@ -16,7 +16,7 @@
 
 /** Evicts an eighth at once, so that one ranking of the prefixes makes room for many new ones. */
 const evictOldest = (prefixes: PersistentMap<Prefix, Micros>): PersistentMap<Prefix, Micros> =>
-  prefixes.deleteAll(leastKeys(prefixes, maxPrefixesPerServer / 8, (prefilledUs) => prefilledUs));
+  prefixes.deleteAll(lowestRankedKeys(prefixes, maxPrefixesPerServer / 8, (prefilledUs) => prefilledUs));
 
 /** Notes that the server has prefilled a prefix now; evicts the oldest entries if its table is full. */
 export const withCachedPrefix = (view: DecisionView, server: ServerKey, prefix: Prefix): DecisionView => {
--- a/src/decision/machine/step/on-list.ts
+++ b/src/decision/machine/step/on-list.ts
@@ -1,16 +1,16 @@
-import { raisedBound } from '../../../common/clock/time-bound.js';
+import { raiseBound } from '../../../common/clock/time-bound.js';
 import type { ListedServer } from '../../../servers/list/listed-server.js';
 import type { ServerList } from '../../../servers/list/server-list.js';
 import { serverKeyOf, type ServerKey } from '../../../servers/list/server-key.js';
 import type { DecisionView } from '../view/decision-view.js';
 import { withoutEffects, type DecisionStep } from './decision-step.js';
-import { mostGraceUs } from '../../../setup/check/figures.js';
+import { maxGraceUs } from '../../../setup/check/field-schemas.js';
 import { updateTopology } from './update-topology.js';
 
 /** Raises the lower bound of the platform time; the bound never decreases. */
 export const withPlatformUs = (view: DecisionView, platformUs: number): DecisionView => ({
   ...view,
-  platform: raisedBound(view.platform, platformUs, view.atUs),
+  platform: raiseBound(view.platform, platformUs, view.atUs),
 });
 
 type ServersByKey = ReadonlyMap<ServerKey, ListedServer>;
@@ -34,7 +34,7 @@
   ...list,
   servers: list.servers.map((server) => {
     if (view.list === undefined)
-      return server.leavingAtUs === undefined ? server : { ...server, leavingAtUs: server.leavingAtUs - mostGraceUs };
+      return server.leavingAtUs === undefined ? server : { ...server, leavingAtUs: server.leavingAtUs - maxGraceUs };
     const previous = previousServers.get(serverKeyOf(server));
     return server.leavingAtUs === undefined || previous?.leavingAtUs === undefined
       ? server
--- a/src/decision/machine/step/on-setup.ts
+++ b/src/decision/machine/step/on-setup.ts
@@ -1,11 +1,11 @@
-import { canonicalText } from '../../../setup/document/canonical-text.js';
+import { canonicalJson } from '../../../setup/document/canonical-json.js';
 import type { SetupRecord } from '../../../setup/document/setup-record.js';
 import type { DecisionView } from '../view/decision-view.js';
 import { withoutEffects, type DecisionStep } from './decision-step.js';
 import { updateTopology } from './update-topology.js';
 
 const areEqual = (left: object, right: object): boolean =>
-  left === right || canonicalText(left) === canonicalText(right);
+  left === right || canonicalJson(left) === canonicalJson(right);
 
 /** Whether two configurations are equal in everything that the topology is derived from. */
 const hasSameTopologyInputs = (previous: SetupRecord, next: SetupRecord): boolean =>
--- a/src/decision/machine/step/step.ts
+++ b/src/decision/machine/step/step.ts
@@ -1,6 +1,6 @@
 import { withFailure } from '../../health/server-failures.js';
 import { withPrefill } from '../../work/prefill-estimate.js';
-import { withoutSpan } from '../../../common/clock/time-bound.js';
+import { withoutElapsed } from '../../../common/clock/time-bound.js';
 import { withRouterCount } from '../../retry/router-counts.js';
 import { positionEnd, positionOf } from '../../ring/position.js';
 import type { DecisionEvent } from '../event/decision-event.js';
@@ -73,7 +73,7 @@
     ...view,
     atUs: Math.max(view.atUs, event.at),
     startedUs: view.startedUs ?? event.at,
-    platform: event.type === 'gap' ? withoutSpan(view.platform, event.spanUs) : view.platform,
+    platform: event.type === 'gap' ? withoutElapsed(view.platform, event.spanUs) : view.platform,
   };
   if (event.type !== 'tick' && platformUsOf(nowView) >= nowView.topology.nextChangeUs) {
     const updated = updateTopology(nowView);
--- a/src/decision/machine/view/decision-view.ts
+++ b/src/decision/machine/view/decision-view.ts
@@ -1,4 +1,4 @@
-import { boundAt, type TimeBound } from '../../../common/clock/time-bound.js';
+import { lowerBoundAt, type ClockLowerBound } from '../../../common/clock/time-bound.js';
 import type { Micros } from '../../../common/micros.js';
 import { emptyMap, emptyOrderedMap, type PersistentMap } from '../../../common/persistent-map.js';
 import type { ServerKey } from '../../../servers/list/server-key.js';
@@ -25,7 +25,7 @@
   /** Offset of this node's pace slots from the beginning of a migration, as a fraction of a slot. */
   readonly slotOffset: number;
   /** A lower bound of the platform time. */
-  readonly platform: TimeBound | undefined;
+  readonly platform: ClockLowerBound | undefined;
   /** The latest replicated configuration. */
   readonly record: SetupRecord | undefined;
   /** Recent counts of the routers in the fleet, with the time until which each holds. */
@@ -93,7 +93,7 @@
 
 /** The lower bound of the platform time at `view.atUs`; the monotonic time itself before any was received. */
 export const platformUsOf = (view: DecisionView): Micros =>
-  view.platform === undefined ? view.atUs : boundAt(view.platform, view.atUs);
+  view.platform === undefined ? view.atUs : lowerBoundAt(view.platform, view.atUs);
 
 /** The number of routers that share fleet-wide limits: configured, else counted; infinite before the first count. */
 export const routersOf = (view: DecisionView): number =>
--- a/src/decision/trace/event-schemas.ts
+++ b/src/decision/trace/event-schemas.ts
@@ -1,5 +1,5 @@
 import { array, boolean, number, object, string, type Schema } from 'yup';
-import { typed } from '../../common/union.js';
+import { literalType } from '../../common/union.js';
 import { listSchema } from '../../servers/list/check-list.js';
 import { recordSchema } from '../../setup/check/record-schema.js';
 import type { DecisionEvent } from '../machine/event/decision-event.js';
@@ -22,14 +22,14 @@
 
 /** The schema of each event in a trace, by type. */
 export const eventSchemas: { readonly [T in DecisionEvent['type']]: Schema<DecisionEvent> } = {
-  node: object({ type: typed('node'), at: at(), node: name() }).noUnknown(),
-  setup: object({ type: typed('setup'), at: at(), record: recordSchema }).noUnknown(),
-  list: object({ type: typed('list'), at: at(), list: listSchema }).noUnknown(),
-  fleet: object({ type: typed('fleet'), at: at(), routers: number().required().integer().min(1) }).noUnknown(),
-  gap: object({ type: typed('gap'), at: at(), spanUs: at() }).noUnknown(),
-  time: object({ type: typed('time'), at: at(), platformUs: at() }).noUnknown(),
+  node: object({ type: literalType('node'), at: at(), node: name() }).noUnknown(),
+  setup: object({ type: literalType('setup'), at: at(), record: recordSchema }).noUnknown(),
+  list: object({ type: literalType('list'), at: at(), list: listSchema }).noUnknown(),
+  fleet: object({ type: literalType('fleet'), at: at(), routers: number().required().integer().min(1) }).noUnknown(),
+  gap: object({ type: literalType('gap'), at: at(), spanUs: at() }).noUnknown(),
+  time: object({ type: literalType('time'), at: at(), platformUs: at() }).noUnknown(),
   exchange: object({
-    type: typed('exchange'),
+    type: literalType('exchange'),
     at: at(),
     exchange: name(),
     kind: name(),
@@ -46,10 +46,10 @@
       .optional()
       .default(undefined),
   }).noUnknown(),
-  sent: object({ type: typed('sent'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
-  firstPiece: object({ type: typed('firstPiece'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
+  sent: object({ type: literalType('sent'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
+  firstPiece: object({ type: literalType('firstPiece'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
   failed: object({
-    type: typed('failed'),
+    type: literalType('failed'),
     at: at(),
     exchange: name(),
     attempt: attempt(),
@@ -58,11 +58,11 @@
     error: string().required().oneOf(deliveryErrors),
     notRun: boolean(),
   }).noUnknown(),
-  done: object({ type: typed('done'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
-  abandoned: object({ type: typed('abandoned'), at: at(), exchange: name() }).noUnknown(),
-  work: object({ type: typed('work'), at: at(), server: name(), service: name(), tokens: at() }).noUnknown(),
+  done: object({ type: literalType('done'), at: at(), exchange: name(), attempt: attempt() }).noUnknown(),
+  abandoned: object({ type: literalType('abandoned'), at: at(), exchange: name() }).noUnknown(),
+  work: object({ type: literalType('work'), at: at(), server: name(), service: name(), tokens: at() }).noUnknown(),
   failure: object({
-    type: typed('failure'),
+    type: literalType('failure'),
     at: at(),
     server: name(),
     cause: string()
@@ -70,15 +70,15 @@
       .oneOf(['unreachable', 'failed'] as const),
   }).noUnknown(),
   load: object({
-    type: typed('load'),
+    type: literalType('load'),
     at: at(),
     server: name(),
     running: at(),
     waiting: at(),
     slots: at(),
   }).noUnknown(),
-  dark: object({ type: typed('dark'), at: at(), server: name() }).noUnknown(),
-  light: object({ type: typed('light'), at: at(), server: name() }).noUnknown(),
-  tick: object({ type: typed('tick'), at: at() }).noUnknown(),
-  drain: object({ type: typed('drain'), at: at() }).noUnknown(),
+  dark: object({ type: literalType('dark'), at: at(), server: name() }).noUnknown(),
+  light: object({ type: literalType('light'), at: at(), server: name() }).noUnknown(),
+  tick: object({ type: literalType('tick'), at: at() }).noUnknown(),
+  drain: object({ type: literalType('drain'), at: at() }).noUnknown(),
 };
--- a/src/decision/trace/parse-event.ts
+++ b/src/decision/trace/parse-event.ts
@@ -1,6 +1,6 @@
 import { Either, Left } from 'purify-ts';
 import { object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import type { Fault } from '../../common/fault.js';
 import { parseJson } from '../../common/json.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
@@ -23,11 +23,11 @@
   parseJson(text, 'bad-event')
     .mapLeft((error) => badEvent(line, [{ path: '', message: error.message }]))
     .chain((value) =>
-      checked(typeSchema, value)
+      validate(typeSchema, value)
         .mapLeft((faults) => badEvent(line, faults))
         .chain(({ type }): Either<TypedError, DecisionEvent> =>
           isEventType(type)
-            ? checked(eventSchemas[type], value).mapLeft((faults) => badEvent(line, faults))
+            ? validate(eventSchemas[type], value).mapLeft((faults) => badEvent(line, faults))
             : Left(badEvent(line, [{ path: 'type', message: `unknown event type ${type}` }])),
         ),
     );
--- a/src/experiment/play-experiment.ts
+++ b/src/experiment/play-experiment.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../common/chance.js';
+import { randomItem } from '../common/random.js';
 import type { Micros } from '../common/micros.js';
 import type { DecisionPolicy } from '../decision/policy.js';
 import { positionEnd, positionOf } from '../decision/ring/position.js';
@@ -129,7 +129,7 @@
     let left = servers.filter(({ listed }) => listed.service === fault.service);
     const count = Math.max(1, Math.round(left.length * fault.share));
     for (let struck = 0; struck < count; struck += 1) {
-      const server = oneOf(world.chance, left);
+      const server = randomItem(world.chance, left);
       if (server === undefined) return;
       left = left.filter((other) => other !== server);
       server.strike(serverFault);
--- a/src/process/control/control-node.ts
+++ b/src/process/control/control-node.ts
@@ -1,5 +1,5 @@
 import { EitherAsync } from 'purify-ts';
-import { paused } from '../../common/clock/paused.js';
+import { delay } from '../../common/clock/delay.js';
 import type { TypedError } from '../../common/typed-error.js';
 import { hasCommittedInTerm } from '../../control/machine/log-queries.js';
 import { openCoreClient, type CoreClient } from '../core-client.js';
@@ -117,7 +117,7 @@
       stop: async () => {
         log.change('stopping', {});
         await control.resign();
-        await paused(surroundings.clock, handoverUs);
+        await delay(surroundings.clock, handoverUs);
         source.close();
         closeFailureReport();
         loopDelay.close();
--- a/src/process/control/control-task.ts
+++ b/src/process/control/control-task.ts
@@ -1,6 +1,6 @@
 import { EitherAsync } from 'purify-ts';
-import { every } from '../../common/clock/every.js';
-import { paused } from '../../common/clock/paused.js';
+import { callEvery } from '../../common/clock/every.js';
+import { delay } from '../../common/clock/delay.js';
 import type { Micros } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
 import type { ControlEvent } from '../../control/machine/control-event.js';
@@ -137,14 +137,14 @@
   return {
     replica: () => replica,
     start: () => {
-      stopTicks = every(clock, tickUs, tick);
+      stopTicks = callEvery(clock, tickUs, tick);
     },
     resign: async () => {
       writer.end();
       const deadlineUs = clock.now() + transferTimeoutUs;
       mailbox.post({ type: 'resign', at: clock.now(), chance: chance() });
       await mailbox.idle();
-      while (replica.transferDeadlineUs !== undefined && clock.now() < deadlineUs) await paused(clock, tickUs);
+      while (replica.transferDeadlineUs !== undefined && clock.now() < deadlineUs) await delay(clock, tickUs);
     },
     close: async () => {
       stopTicks();
--- a/src/process/control/durable-writer.ts
+++ b/src/process/control/durable-writer.ts
@@ -1,6 +1,6 @@
 import type { Either } from 'purify-ts';
 import type { Clock } from '../../common/clock/clock.js';
-import { paused } from '../../common/clock/paused.js';
+import { delay } from '../../common/clock/delay.js';
 import type { Micros } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
 import type { DurableRecord } from '../../control/log/durable-record.js';
@@ -78,7 +78,7 @@
       counters.count('disk.refusals');
       if (!isRefusing) written.ifLeft((error) => log.change('disk refuses', { error }));
       isRefusing = true;
-      await paused(clock, retryIntervalUs);
+      await delay(clock, retryIntervalUs);
       written = await append();
     }
     return written;
--- a/src/process/control/open-ring.ts
+++ b/src/process/control/open-ring.ts
@@ -1,6 +1,6 @@
 import { EitherAsync, Left } from 'purify-ts';
 import type { Clock } from '../../common/clock/clock.js';
-import { paused } from '../../common/clock/paused.js';
+import { delay } from '../../common/clock/delay.js';
 import type { Micros } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
 import type { Log } from '../log.js';
@@ -21,7 +21,7 @@
   open().chainLeft((error) => {
     if (!isRetryable(error)) return EitherAsync.liftEither(Left(error));
     if (!hasRefused) log.change('disk refuses to open; retrying', { error });
-    return EitherAsync<TypedError, void>(() => paused(clock, reopenDelayUs)).chain(() =>
+    return EitherAsync<TypedError, void>(() => delay(clock, reopenDelayUs)).chain(() =>
       openWithRetry(open, clock, log, true),
     );
   });
--- a/src/process/core-client.ts
+++ b/src/process/core-client.ts
@@ -1,6 +1,6 @@
 import { Left, Right, type Either } from 'purify-ts';
-import { paused } from '../common/clock/paused.js';
-import { within } from '../common/clock/within.js';
+import { delay } from '../common/clock/delay.js';
+import { raceTimeout } from '../common/clock/race-timeout.js';
 import type { Micros } from '../common/micros.js';
 import { typedError, type TypedError } from '../common/typed-error.js';
 import type { CoreReply } from '../control/machine/core-reply.js';
@@ -84,14 +84,14 @@
           const reply =
             address === undefined
               ? undefined
-              : await within(clock, Promise.race([lastWord, askAt(address)]), Math.min(tryBudgetUs, leftUs));
+              : await raceTimeout(clock, Promise.race([lastWord, askAt(address)]), Math.min(tryBudgetUs, leftUs));
           if (reply !== undefined && isLast(reply)) return Right(reply);
           if (reply?.type === 'state-full' && !mayStand)
             return Left(typedError('state-full', 'the state of the core has no room for what was proposed'));
           if (address !== undefined && reply?.type !== 'not-leader') mayStand = true;
           leaderAddress = reply?.type === 'not-leader' && reply.leader !== address ? reply.leader : undefined;
           if (leaderAddress !== undefined) continue;
-          const lateReply = await Promise.race([lastWord, paused(clock, pauseUs)]);
+          const lateReply = await Promise.race([lastWord, delay(clock, pauseUs)]);
           if (lateReply !== undefined) return Right(lateReply);
         }
         return Left(
--- a/src/process/failure-report.ts
+++ b/src/process/failure-report.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../common/clock/clock.js';
-import { every } from '../common/clock/every.js';
+import { callEvery } from '../common/clock/every.js';
 import type { Micros } from '../common/micros.js';
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
@@ -60,7 +60,7 @@
     told = present;
     if (Object.keys(failures).length > 0) log.change('failures', { failures, ...state() });
   };
-  const endReports = every(clock, reportIntervalUs, tell);
+  const endReports = callEvery(clock, reportIntervalUs, tell);
   return {
     close: () => {
       endReports();
--- a/src/process/gossip-task.ts
+++ b/src/process/gossip-task.ts
@@ -1,6 +1,6 @@
 import { EventEmitter } from 'node:events';
-import { boundAt, longestStepUs } from '../common/clock/time-bound.js';
-import { every } from '../common/clock/every.js';
+import { lowerBoundAt, maxClockStepUs } from '../common/clock/time-bound.js';
+import { callEvery } from '../common/clock/every.js';
 import type { Micros } from '../common/micros.js';
 import type { ServerList } from '../servers/list/server-list.js';
 import type { ListReading } from '../servers/source/list-reading.js';
@@ -168,11 +168,11 @@
     platformUs: () => {
       if (view.platform === undefined) return 0;
       const nowUs = clock.now();
-      return boundAt(view.platform, nowUs < view.atUs + longestStepUs ? nowUs : view.atUs);
+      return lowerBoundAt(view.platform, nowUs < view.atUs + maxClockStepUs ? nowUs : view.atUs);
     },
     start: async () => {
       await links.listen();
-      endTicks = every(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
+      endTicks = callEvery(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
     },
     offerSetup: (record) => take({ type: 'setup', at: clock.now(), record }),
     offerList: (list) => take({ type: 'list', at: clock.now(), list }),
--- a/src/process/http/client-time-limits.ts
+++ b/src/process/http/client-time-limits.ts
@@ -1,12 +1,12 @@
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { toMillis, type Micros } from '../../common/micros.js';
-import type { CallerLimits } from '../../setup/document/caller-limits.js';
+import type { ClientLimits } from '../../setup/document/client-limits.js';
 
 /** The time limits of an HTTP server. */
 export type ClientTimeLimits = {
   /** Applies the limits of a new configuration; the idle time-out of connections that are idle now starts again. */
-  readonly apply: (limits: Pick<CallerLimits, 'headUs' | 'idleUs'>) => void;
+  readonly apply: (limits: Pick<ClientLimits, 'headUs' | 'idleUs'>) => void;
   /** Applies the idle time-out to a connection that has not sent anything yet. */
   readonly startIdleTimeout: (socket: Socket) => void;
 };
--- a/src/process/http/http-server.ts
+++ b/src/process/http/http-server.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 import polka from 'polka';
-import { steadyClock } from '../../common/clock/steady-clock.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
 import type { Micros } from '../../common/micros.js';
 import { listenAt } from '../../spread/link/listen-at.js';
 import type { Counters } from '../counters.js';
@@ -61,7 +61,7 @@
     close: () =>
       new Promise((resolve) => {
         connections.closeAfterNewest();
-        const cancelTimeout = steadyClock.after(closeTimeoutUs, () => server.closeAllConnections());
+        const cancelTimeout = monotonicClock.after(closeTimeoutUs, () => server.closeAllConnections());
         server.close(() => {
           cancelTimeout();
           resolve();
--- a/src/process/http/reply.ts
+++ b/src/process/http/reply.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 import type { Micros } from '../../common/micros.js';
-import { toRetrySeconds } from '../../common/micros.js';
+import { toRetryAfterSeconds } from '../../common/micros.js';
 import type { TypedError } from '../../common/typed-error.js';
 import { endAfterRequest } from './end-after-request.js';
 
@@ -33,5 +33,5 @@
     response,
     status,
     { error, ...fields, ...(retryAfterUs === undefined ? {} : { retryAfterUs }) },
-    retryAfterUs === undefined ? {} : { 'retry-after': String(toRetrySeconds(retryAfterUs)) },
+    retryAfterUs === undefined ? {} : { 'retry-after': String(toRetryAfterSeconds(retryAfterUs)) },
   );
--- a/src/process/loop-delay.ts
+++ b/src/process/loop-delay.ts
@@ -1,6 +1,6 @@
 import { createHistogram } from 'node:perf_hooks';
 import type { Clock } from '../common/clock/clock.js';
-import { every } from '../common/clock/every.js';
+import { callEvery } from '../common/clock/every.js';
 import type { Micros } from '../common/micros.js';
 import type { Counters } from './counters.js';
 
@@ -23,7 +23,7 @@
   const histogram = createHistogram({ lowest: leastUs, highest: mostUs, figures: significantDigits });
   let lookedUs = clock.now();
   let longestUs: Micros = 0;
-  const endLooks = every(clock, loopSampleIntervalUs, () => {
+  const endLooks = callEvery(clock, loopSampleIntervalUs, () => {
     const nowUs = clock.now();
     const delayUs = Math.min(mostUs, Math.max(leastUs, nowUs - lookedUs - loopSampleIntervalUs));
     lookedUs = nowUs;
--- a/src/process/poller-task.ts
+++ b/src/process/poller-task.ts
@@ -1,6 +1,6 @@
 import { Left, type Either } from 'purify-ts';
-import { every } from '../common/clock/every.js';
-import { within } from '../common/clock/within.js';
+import { callEvery } from '../common/clock/every.js';
+import { raceTimeout } from '../common/clock/race-timeout.js';
 import type { Micros } from '../common/micros.js';
 import { messageOf, typedError, type TypedError } from '../common/typed-error.js';
 import type { ListReading } from '../servers/source/list-reading.js';
@@ -45,7 +45,7 @@
 
   const read = async (): Promise<Either<TypedError, ListReading>> => {
     try {
-      const reading = await within(clock, listSource.read(), readBudgetUs);
+      const reading = await raceTimeout(clock, listSource.read(), readBudgetUs);
       return reading ?? Left(typedError('unreachable', 'the platform did not answer in time'));
     } catch (thrown) {
       return Left(typedError('unreachable', messageOf(thrown)));
@@ -74,7 +74,7 @@
   return {
     start: () => {
       view = initialPollerView(role, node, clock.now());
-      endTicks = every(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
+      endTicks = callEvery(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
     },
     close: () => {
       isClosed = true;
--- a/src/process/router/admission.ts
+++ b/src/process/router/admission.ts
@@ -1,5 +1,5 @@
 import type { Either } from 'purify-ts';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import type { ErrorType } from '../../common/error-type.js';
 import type { Micros } from '../../common/micros.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
@@ -8,7 +8,7 @@
 import { accessOf, type Access } from '../../router/access/access.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
 import { prefixTextOf } from '../../decision/work/work-of.js';
-import { ruleAt } from '../../setup/match/rule-index.js';
+import { matchRule } from '../../setup/match/rule-index.js';
 import type { ClientLink } from '../../router/delivery/client-link.js';
 import { claimKeyOf } from '../../router/exchange/claim-key.js';
 import { claimBudgetOf } from '../../router/exchange/claim-budget.js';
@@ -170,7 +170,7 @@
   let pendingCount = 0;
   const admit: Admission['admit'] = async (json, idempotencyKey, client, apiKey) => {
     const parsed = json.chain((value) =>
-      checked(exchangeBodySchema, value).mapLeft((faults) => typedError('bad-exchange', 'invalid exchange', faults)),
+      validate(exchangeBodySchema, value).mapLeft((faults) => typedError('bad-exchange', 'invalid exchange', faults)),
     );
     if (parsed.isLeft()) {
       parsed.ifLeft((error) => refuse(client, error, error.type === 'over-memory' ? defaultRetryAfterUs : undefined));
@@ -218,7 +218,7 @@
   const admitOpaque: Admission['admitOpaque'] = async (exchange, client) => {
     if (!(await checkOpen(client))) return;
     const setup = router.view().record?.setup;
-    const rule = setup === undefined ? undefined : ruleAt(setup, exchange.host, exchange.path);
+    const rule = setup === undefined ? undefined : matchRule(setup, exchange.host, exchange.path);
     if (setup === undefined || rule === undefined) {
       refuse(client, typedError('unknown-place', 'no rule matches this host and path'));
       return;
--- a/src/process/router/refresh-gate.ts
+++ b/src/process/router/refresh-gate.ts
@@ -1,4 +1,4 @@
-import { longestStepUs } from '../../common/clock/time-bound.js';
+import { maxClockStepUs } from '../../common/clock/time-bound.js';
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
 import type { GossipTask } from '../gossip-task.js';
@@ -26,7 +26,7 @@
     const nowUs = clock.now();
     const silentUs = nowUs - lastCheckUs;
     lastCheckUs = nowUs;
-    if (silentUs >= longestStepUs) {
+    if (silentUs >= maxClockStepUs) {
       isShut = true;
       onFreeze(silentUs);
       spread.refresh();
--- a/src/process/router/router-node.ts
+++ b/src/process/router/router-node.ts
@@ -1,5 +1,5 @@
-import { every } from '../../common/clock/every.js';
-import { paused } from '../../common/clock/paused.js';
+import { callEvery } from '../../common/clock/every.js';
+import { delay } from '../../common/clock/delay.js';
 import type { ErrorType } from '../../common/error-type.js';
 import type { Micros } from '../../common/micros.js';
 import { openCoreClient, type CoreClient } from '../core-client.js';
@@ -126,7 +126,7 @@
         isConfirmed = true;
         log.change('setup confirmed by the core', { revision: reply.record.revision });
       });
-      if (!isConfirmed) await paused(clock, confirmRetryDelayUs);
+      if (!isConfirmed) await delay(clock, confirmRetryDelayUs);
     }
   };
 
@@ -172,7 +172,7 @@
       await spread.start();
       source.start();
       router.start();
-      stopFreezeChecks = every(clock, freezeCheckIntervalUs, gate.isShut);
+      stopFreezeChecks = callEvery(clock, freezeCheckIntervalUs, gate.isShut);
       closeReport = openFailureReport(clock, log, counters, state).close;
       log.change('started', {});
       void confirm();
@@ -182,14 +182,14 @@
       callers?.closeAfterNewest();
       log.change('stopping', { inFlight: router.inFlight() });
       const stopDueUs = clock.now() + drainBudgetUs;
-      await paused(clock, lameDuckUs);
+      await delay(clock, lameDuckUs);
       callers?.closeIdle();
       isDraining = true;
       bodies.refuseWaiting();
-      while (admission.pendingCount() > 0 && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);
+      while (admission.pendingCount() > 0 && clock.now() < stopDueUs) await delay(clock, drainPollIntervalUs);
       router.drain();
       const isAnswered = (): boolean => router.inFlight() === 0 && (callers?.unanswered() ?? 0) === 0;
-      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);
+      while (!isAnswered() && clock.now() < stopDueUs) await delay(clock, drainPollIntervalUs);
       log.change('stopped', { cutOff: router.inFlight(), unanswered: callers?.unanswered() ?? 0 });
       end();
     },
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -1,5 +1,5 @@
-import { longestStepUs } from '../../common/clock/time-bound.js';
-import { within } from '../../common/clock/within.js';
+import { maxClockStepUs } from '../../common/clock/time-bound.js';
+import { raceTimeout } from '../../common/clock/race-timeout.js';
 import { openJournal } from '../../common/journal.js';
 import type { Micros } from '../../common/micros.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
@@ -16,7 +16,7 @@
 import { forwardOpaque } from '../../router/delivery/forward-opaque.js';
 import type { OpaqueExchange } from '../../router/opaque/opaque-exchange.js';
 import { workOf } from '../../decision/work/work-of.js';
-import { shareOf } from '../../setup/match/share-of.js';
+import { chooseService } from '../../setup/match/choose-service.js';
 import type { Continuation } from '../../router/exchange/continuation.js';
 import type { QuotaHold } from '../../router/exchange/quota-hold.js';
 import type { ExchangeBody } from '../../router/exchange/exchange-body.js';
@@ -160,7 +160,7 @@
   const dispatch = (event: DecisionEvent): void => {
     const spanUs = event.at - lastEventUs;
     lastEventUs = event.at;
-    if (spanUs >= longestStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });
+    if (spanUs >= maxClockStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });
     pendingEvents.push(event);
     if (isDispatching) return;
     isDispatching = true;
@@ -381,7 +381,7 @@
       continuation.stream.dueUs = Number.POSITIVE_INFINITY;
       endAttempt(continuation, attempt, decision.server, outcome);
     }
-    if (outcome.type === 'done' && (await within(clock, outcome.rest, bodyEndBudgetUs)) !== true) link.close();
+    if (outcome.type === 'done' && (await raceTimeout(clock, outcome.rest, bodyEndBudgetUs)) !== true) link.close();
     pool.release(link);
   };
 
@@ -522,7 +522,9 @@
     accept: ({ rule: matchedRule, body, opaque, client: client, apiKey, access, quota, claimed }) => {
       const tier = access.type === 'tenant' ? access.tenant.tier : undefined;
       const service =
-        matchedRule.split === undefined ? matchedRule.service : shareOf(matchedRule, opaque?.name ?? nextExchangeId());
+        matchedRule.split === undefined
+          ? matchedRule.service
+          : chooseService(matchedRule, opaque?.name ?? nextExchangeId());
       const rule = { ...matchedRule, service, tier: tier ?? matchedRule.tier };
       const isModel = journal.view().topology.services.get(rule.service)?.type === 'model';
       const continuation = slab.put((handle) => {
--- a/src/process/settings/check-settings.ts
+++ b/src/process/settings/check-settings.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { array, boolean, number, object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { parseJson } from '../../common/json.js';
 import type { Fault } from '../../common/fault.js';
 import { messageOf, typedError, type TypedError } from '../../common/typed-error.js';
@@ -68,10 +68,10 @@
   typedError('bad-settings', faults.map((fault) => `${fault.path || 'settings'}: ${fault.message}`).join('\n'), faults);
 
 export const checkRouterSettings = (value: unknown): Either<TypedError, NodeSettings> =>
-  checked(routerSchema, value).mapLeft(badSettings);
+  validate(routerSchema, value).mapLeft(badSettings);
 
 export const checkControlSettings = (value: unknown): Either<TypedError, ControlSettings> =>
-  checked(controlSchema, value).mapLeft(badSettings);
+  validate(controlSchema, value).mapLeft(badSettings);
 
 const objectSchema = object().required();
 
@@ -80,7 +80,7 @@
   if (path === undefined) return Either.of({});
   try {
     return parseJson(readFileSync(path, 'utf8'), 'bad-settings').chain((value) =>
-      checked(objectSchema, value).mapLeft(badSettings),
+      validate(objectSchema, value).mapLeft(badSettings),
     );
   } catch (thrown) {
     return Left(typedError('bad-settings', `${path}: ${messageOf(thrown)}`));
--- a/src/process/surroundings/real-surroundings.ts
+++ b/src/process/surroundings/real-surroundings.ts
@@ -1,5 +1,5 @@
 import { randomBytes } from 'node:crypto';
-import { steadyClock } from '../../common/clock/steady-clock.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
 import { openRingFolder } from '../../disk/open-folder.js';
 import { openServerLink } from '../../servers/link/open-link.js';
 import { openTcpLinks } from '../../spread/link/tcp-links.js';
@@ -8,7 +8,7 @@
 
 /** The dependencies of a real process: monotonic clock, TCP links and files. */
 export const realSurroundings: Surroundings = {
-  clock: steadyClock,
+  clock: monotonicClock,
   chance: () => Math.random(),
   freshName: () => randomBytes(6).toString('hex'),
   openPartnerLinks: openTcpLinks,
--- a/src/process/surroundings/surroundings.ts
+++ b/src/process/surroundings/surroundings.ts
@@ -1,5 +1,5 @@
 import type { EitherAsync } from 'purify-ts';
-import type { Chance } from '../../common/chance.js';
+import type { RandomSource } from '../../common/random.js';
 import type { Clock } from '../../common/clock/clock.js';
 import type { TypedError } from '../../common/typed-error.js';
 import type { DiskRing } from '../../disk/disk-ring.js';
@@ -15,7 +15,7 @@
  */
 export type Surroundings = {
   readonly clock: Clock;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   /** Returns a globally unique name. */
   readonly freshName: () => string;
   readonly openPartnerLinks: (address: string, options?: LinkOptions) => PeerLinks;
--- a/src/rehearsal/launcher/launched-node.ts
+++ b/src/rehearsal/launcher/launched-node.ts
@@ -1,4 +1,4 @@
-import type { DiskTrouble } from '../../disk/disk-trouble.js';
+import type { DiskFault } from '../../disk/disk-fault.js';
 import type { RehearsedNode } from '../stand-in/platform.js';
 
 /** Where a process is reached, and where it listens behind the relay that can cut its links. */
@@ -25,7 +25,7 @@
   readonly freeze: () => void;
   readonly wake: () => void;
   readonly loseDisk: () => void;
-  readonly troubleDisk: (trouble: DiskTrouble) => void;
+  readonly troubleDisk: (trouble: DiskFault) => void;
   /** Gives the next life other addresses. */
   readonly move: (addresses: NodeAddresses) => void;
   /** Gives the next life other seeds. */
--- a/src/rehearsal/run/faults/core-faults.ts
+++ b/src/rehearsal/run/faults/core-faults.ts
@@ -1,10 +1,10 @@
-import { oneOf } from '../../../common/chance.js';
-import { noTrouble } from '../../../disk/disk-trouble.js';
+import { randomItem } from '../../../common/random.js';
+import { noDiskFault } from '../../../disk/disk-fault.js';
 import { freePorts } from '../../launcher/free-ports.js';
 import type { FaultStep } from './fault-step.js';
 
 export const loseDisk: FaultStep = async (parts) => {
-  const control = oneOf(parts.chance, parts.controls);
+  const control = randomItem(parts.chance, parts.controls);
   if (control === undefined) return;
   await control.kill();
   control.loseDisk();
@@ -16,8 +16,8 @@
 /** A core machine comes back empty at new addresses; whoever starts from then on is given the new seeds. */
 export const moveCore: FaultStep = async (parts) => {
   const { controls, routers, relays } = parts;
-  const control = oneOf(parts.chance, controls);
-  const router = oneOf(parts.chance, routers);
+  const control = randomItem(parts.chance, controls);
+  const router = randomItem(parts.chance, routers);
   if (control === undefined || router === undefined) return;
   await control.kill();
   control.loseDisk();
@@ -45,7 +45,7 @@
     if (leader === undefined) return;
     leader.troubleDisk({ delayUs, fails: false });
     await parts.pause(spanUs);
-    leader.troubleDisk(noTrouble);
+    leader.troubleDisk(noDiskFault);
   };
 
 export const slowLeaderDisk = delayLeaderDisk(150_000, 5_000_000);
@@ -60,6 +60,6 @@
   await parts.pause(8_000_000);
   if (!control.isRunning()) throw new Error('a core machine ended itself over a full disk');
   if ((await parts.leader()) === control) throw new Error('a core machine with a full disk went on leading');
-  control.troubleDisk(noTrouble);
+  control.troubleDisk(noDiskFault);
   await parts.pause(1_000_000);
 };
--- a/src/rehearsal/run/faults/link-faults.ts
+++ b/src/rehearsal/run/faults/link-faults.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../../common/chance.js';
+import { randomItem } from '../../../common/random.js';
 import type { LaunchedNode } from '../../launcher/launched-node.js';
 import type { RehearsalParts } from '../rehearsal-parts.js';
 import type { FaultStep } from './fault-step.js';
@@ -26,7 +26,7 @@
   cutFor(parts, parts.controls.slice(0, 1), parts.controls.slice(1), false);
 
 export const isolateRouter: FaultStep = (parts) => {
-  const router = oneOf(parts.chance, parts.routers);
+  const router = randomItem(parts.chance, parts.routers);
   const others = [...parts.controls, ...parts.routers].filter((node) => node !== router);
   return router === undefined ? Promise.resolve() : cutFor(parts, [router], others, parts.chance() < 0.4);
 };
--- a/src/rehearsal/run/faults/node-faults.ts
+++ b/src/rehearsal/run/faults/node-faults.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../../common/chance.js';
+import { randomItem } from '../../../common/random.js';
 import type { LaunchedNode } from '../../launcher/launched-node.js';
 import type { RehearsalParts } from '../rehearsal-parts.js';
 import type { FaultStep } from './fault-step.js';
@@ -18,7 +18,7 @@
 const withRouter =
   (act: (router: LaunchedNode, parts: RehearsalParts) => Promise<void>): FaultStep =>
   async (parts) => {
-    const router = oneOf(parts.chance, parts.routers);
+    const router = randomItem(parts.chance, parts.routers);
     if (router !== undefined) await act(router, parts);
   };
 
--- a/src/rehearsal/run/faults/server-faults.ts
+++ b/src/rehearsal/run/faults/server-faults.ts
@@ -1,5 +1,5 @@
-import { steadyNow } from '../../../common/micros.js';
-import { oneOf } from '../../../common/chance.js';
+import { monotonicNow } from '../../../common/micros.js';
+import { randomItem } from '../../../common/random.js';
 import type { StandInServer } from '../../stand-in/stand-in-server.js';
 import type { RehearsalParts } from '../rehearsal-parts.js';
 import type { FaultStep } from './fault-step.js';
@@ -10,7 +10,7 @@
 const withModel =
   (act: (server: StandInServer, parts: RehearsalParts) => Promise<void>): FaultStep =>
   async (parts) => {
-    const server = oneOf(parts.chance, modelsOf(parts));
+    const server = randomItem(parts.chance, modelsOf(parts));
     if (server !== undefined) await act(server, parts);
   };
 
@@ -21,7 +21,7 @@
 });
 
 export const reuseAddress: FaultStep = withModel(async (server, parts) => {
-  const router = oneOf(parts.chance, parts.routers);
+  const router = randomItem(parts.chance, parts.routers);
   if (router === undefined) return;
   router.freeze();
   server.crash();
@@ -53,7 +53,7 @@
 
 export const join: FaultStep = async (parts) => {
   for (const joiner of await parts.serverPool.open(1, 'model'))
-    parts.history.joins.push({ server: joiner.listed.id, atUs: steadyNow() });
+    parts.history.joins.push({ server: joiner.listed.id, atUs: monotonicNow() });
 };
 
 const leaving = async (parts: RehearsalParts, leaver: StandInServer | undefined): Promise<void> => {
--- a/src/rehearsal/run/faults/traffic-faults.ts
+++ b/src/rehearsal/run/faults/traffic-faults.ts
@@ -1,9 +1,9 @@
-import { steadyNow } from '../../../common/micros.js';
+import { monotonicNow } from '../../../common/micros.js';
 import { openTroubleNotes } from '../../history/trouble-notes.js';
 import type { FaultStep } from './fault-step.js';
 
 export const crowd: FaultStep = async ({ traffic, history, pause }) => {
-  const { hit } = openTroubleNotes(history, steadyNow);
+  const { hit } = openTroubleNotes(history, monotonicNow);
   hit('begins', 'callers', 'crowd');
   const end = traffic.crowd(0.7);
   traffic.speed(3);
--- a/src/rehearsal/run/rehearsal-parts.ts
+++ b/src/rehearsal/run/rehearsal-parts.ts
@@ -1,6 +1,6 @@
 import type { Setup } from '../../setup/document/setup.js';
 import type { Micros } from '../../common/micros.js';
-import type { Chance } from '../../common/chance.js';
+import type { RandomSource } from '../../common/random.js';
 import type { Deployment } from '../deployment/deployment.js';
 import type { History } from '../history/history.js';
 import type { CutRelays } from '../launcher/cut-relays.js';
@@ -14,7 +14,7 @@
 export type RehearsalParts = {
   readonly deployment: Deployment;
   readonly history: History;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly platform: Platform;
   readonly serverPool: ServerPool;
   readonly traffic: Traffic;
--- a/src/rehearsal/run/rehearse.ts
+++ b/src/rehearsal/run/rehearse.ts
@@ -3,16 +3,16 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { EitherAsync } from 'purify-ts';
-import { every } from '../../common/clock/every.js';
-import { paused } from '../../common/clock/paused.js';
-import { steadyClock } from '../../common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../common/micros.js';
+import { callEvery } from '../../common/clock/every.js';
+import { delay } from '../../common/clock/delay.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../common/micros.js';
 import { parseJson } from '../../common/json.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
-import { httpCall } from '../../cli/http-call.js';
+import { sendRequest } from '../../cli/http-client.js';
 import { checkSetup } from '../../setup/check/check-setup.js';
 import type { Setup } from '../../setup/document/setup.js';
-import { oneOf, seededChance } from '../../common/chance.js';
+import { randomItem, seededRandom } from '../../common/random.js';
 import { checkHistory } from '../checker/check-history.js';
 import { termsOf } from '../checker/terms-of.js';
 import { brokenPromisesOf } from '../checker/broken-promises.js';
@@ -66,11 +66,11 @@
     ),
   );
 
-const pause = (spanUs: Micros): Promise<void> => paused(steadyClock, spanUs);
+const pause = (spanUs: Micros): Promise<void> => delay(monotonicClock, spanUs);
 
 const until = async (isSo: () => boolean, isHopeless: () => boolean = () => false): Promise<boolean> => {
-  const dueUs = steadyNow() + startBudgetUs;
-  while (!isSo() && !isHopeless() && steadyNow() < dueUs) await pause(50_000);
+  const dueUs = monotonicNow() + startBudgetUs;
+  while (!isSo() && !isHopeless() && monotonicNow() < dueUs) await pause(50_000);
   return isSo();
 };
 
@@ -94,9 +94,9 @@
       const deployment = scenario.size(given);
       const setup = scenario.setup(exampleSetup);
       const folder = mkdtempSync(join(tmpdir(), 'ledgehill-'));
-      const chance = seededChance(seed);
+      const chance = seededRandom(seed);
       const history = openHistory();
-      const notes = openTroubleNotes(history, steadyNow);
+      const notes = openTroubleNotes(history, monotonicNow);
       const nodeAt = (address: string): string => nodes.find((node) => node.partners === address)?.node ?? address;
       const relays = openCutRelays({
         cut: (from, to) => notes.cut(nodeAt(from), nodeAt(to)),
@@ -129,14 +129,14 @@
       const deskOf = (control: LaunchedNode | undefined) => httpDesk(() => control?.http ?? '');
       const operator = openOperator(
         history,
-        steadyNow,
-        httpDesk(() => oneOf(chance, controls)?.http ?? ''),
+        monotonicNow,
+        httpDesk(() => randomItem(chance, controls)?.http ?? ''),
       );
       const put: RehearsalParts['put'] = (wanted, expected, control = controls[0], isFaulty = false) =>
         operator.put(wanted, expected, { desk: deskOf(control), isFaulty });
       const leader: RehearsalParts['leader'] = async () => {
         for (const control of controls) {
-          const receipt = await httpCall({ method: 'GET', address: control.http, path: '/counters' }).run();
+          const receipt = await sendRequest({ method: 'GET', address: control.http, path: '/counters' }).run();
           if (receipt.map(({ body }) => readNumbers(body, ['control.leads'])['control.leads'] === 1).orDefault(false))
             return control;
         }
@@ -199,10 +199,10 @@
           `ready: ${controls.length} core machines, ${routers.length} routers, ${serverPool.servers().length} servers`,
         );
 
-        const startedUs = steadyNow();
+        const startedUs = monotonicNow();
         traffic.start();
-        const endReading = every(steadyClock, readSpanUs, () => void operator.read());
-        const drawnActs = scenario.draw?.(seededChance(seed)) ?? [];
+        const endReading = callEvery(monotonicClock, readSpanUs, () => void operator.read());
+        const drawnActs = scenario.draw?.(seededRandom(seed)) ?? [];
         const acts = [...scenario.acts, ...drawnActs].map(async (act) => {
           await pause(act.atShare * seconds * 1_000_000);
           tell(`act: ${act.name}`);
--- a/src/rehearsal/run/scenario.ts
+++ b/src/rehearsal/run/scenario.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../../common/chance.js';
+import type { RandomSource } from '../../common/random.js';
 import type { Setup } from '../../setup/document/setup.js';
 import type { Deployment } from '../deployment/deployment.js';
 import type { RehearsalParts } from './rehearsal-parts.js';
@@ -23,5 +23,5 @@
   readonly setup: (setup: Setup) => Setup;
   readonly acts: readonly ScenarioStep[];
   /** Acts that are drawn anew for each seed, beside the others. */
-  readonly draw?: (chance: Chance) => readonly ScenarioStep[];
+  readonly draw?: (chance: RandomSource) => readonly ScenarioStep[];
 };
--- a/src/rehearsal/run/scenarios.ts
+++ b/src/rehearsal/run/scenarios.ts
@@ -1,4 +1,4 @@
-import { steadyNow } from '../../common/micros.js';
+import { monotonicNow } from '../../common/micros.js';
 import type { Setup } from '../../setup/document/setup.js';
 import type { KindTraffic } from '../deployment/kind-traffic.js';
 import type { Deployment } from '../deployment/deployment.js';
@@ -40,7 +40,7 @@
 
 const joinThree: ScenarioStep['act'] = async ({ serverPool, history }) => {
   for (const joiner of await serverPool.open(3, 'model'))
-    history.joins.push({ server: joiner.listed.id, atUs: steadyNow() });
+    history.joins.push({ server: joiner.listed.id, atUs: monotonicNow() });
 };
 
 const joining = (name: string, about: string, setup: (setup: Setup) => Setup): Scenario => ({
--- a/src/rehearsal/run/soak.ts
+++ b/src/rehearsal/run/soak.ts
@@ -1,4 +1,4 @@
-import { oneOf, type Chance } from '../../common/chance.js';
+import { randomItem, type RandomSource } from '../../common/random.js';
 import * as core from './faults/core-faults.js';
 import type { FaultStep } from './faults/fault-step.js';
 import * as links from './faults/link-faults.js';
@@ -70,13 +70,13 @@
 
 const withoutOne = <T>(items: readonly T[], taken: T): readonly T[] => items.filter((item) => item !== taken);
 
-const drawRound = (chance: Chance, atShare: number): readonly ScenarioStep[] => {
+const drawRound = (chance: RandomSource, atShare: number): readonly ScenarioStep[] => {
   const acts: ScenarioStep[] = [];
   let left = kinds;
   const count = chance() < 0.5 ? 2 : 3;
   while (acts.length < count) {
-    const kind = oneOf(chance, left);
-    const trouble = kind === undefined ? undefined : oneOf(chance, kind);
+    const kind = randomItem(chance, left);
+    const trouble = kind === undefined ? undefined : randomItem(chance, kind);
     if (kind === undefined || trouble === undefined) break;
     left = withoutOne(left, kind);
     const [name, act] = trouble;
@@ -86,9 +86,9 @@
 };
 
 /** Draws the troubles of a soak: two or three at a time overlap, in three rounds, and at most one disk is lost. */
-export const drawSoak = (chance: Chance): readonly ScenarioStep[] => {
+export const drawSoak = (chance: RandomSource): readonly ScenarioStep[] => {
   const acts = rounds.flatMap((atShare) => drawRound(chance, atShare));
-  const loss = chance() < diskLossShare ? oneOf(chance, diskLosses) : undefined;
+  const loss = chance() < diskLossShare ? randomItem(chance, diskLosses) : undefined;
   if (loss === undefined) return acts;
   const [name, act] = loss;
   const round = rounds[Math.floor(chance() * lastRound)] ?? rounds[0];
--- a/src/rehearsal/run/traffic.ts
+++ b/src/rehearsal/run/traffic.ts
@@ -1,5 +1,5 @@
-import { steadyNow, toMillis } from '../../common/micros.js';
-import { oneOf, wholeBelow, type Chance } from '../../common/chance.js';
+import { monotonicNow, toMillis } from '../../common/micros.js';
+import { randomItem, randomBelow, type RandomSource } from '../../common/random.js';
 import type { Deployment } from '../deployment/deployment.js';
 import type { KindTraffic } from '../deployment/kind-traffic.js';
 import type { Callers } from '../stand-in/caller.js';
@@ -17,7 +17,7 @@
 
 const repeatedShare = 0.05;
 
-const kindFor = (chance: Chance, kinds: readonly KindTraffic[]): KindTraffic | undefined => {
+const kindFor = (chance: RandomSource, kinds: readonly KindTraffic[]): KindTraffic | undefined => {
   let draw = chance() * kinds.reduce((sum, kind) => sum + kind.share, 0);
   return kinds.find((kind) => {
     draw -= kind.share;
@@ -26,12 +26,17 @@
 };
 
 /** Openings by a law of popularity: the first are asked for far more often than the last. */
-const openingFor = (chance: Chance, kind: KindTraffic): string => {
-  const place = Math.min(kind.openings - 1, Math.floor(kind.openings ** chance()) - 1 + wholeBelow(chance, 2));
+const openingFor = (chance: RandomSource, kind: KindTraffic): string => {
+  const place = Math.min(kind.openings - 1, Math.floor(kind.openings ** chance()) - 1 + randomBelow(chance, 2));
   return `${kind.kind} opening ${place} `.padEnd(kind.openingBytes, '.');
 };
 
-export const openTraffic = (deployment: Deployment, platform: Platform, callers: Callers, chance: Chance): Traffic => {
+export const openTraffic = (
+  deployment: Deployment,
+  platform: Platform,
+  callers: Callers,
+  chance: RandomSource,
+): Traffic => {
   const underWay = new Set<Promise<unknown>>();
   let timer: NodeJS.Timeout | undefined;
   let count = 0;
@@ -43,7 +48,7 @@
 
   const send = (call: Parameters<Callers['call']>[0], times: number): void => {
     for (let time = 0; time < times; time += 1) {
-      const node = oneOf(chance, platform.readyRouters());
+      const node = randomItem(chance, platform.readyRouters());
       if (node === undefined) continue;
       const running: Promise<unknown> = callers
         .call({ ...call, call: `${call.work}.${time}` }, node)
@@ -80,17 +85,17 @@
     if (isStopped) return;
     for (
       ;
-      dueUs <= steadyNow();
+      dueUs <= monotonicNow();
       dueUs += (-Math.log(1 - chance()) * 1_000_000) / (deployment.exchangesPerSecond * factor)
     )
       one();
-    timer = setTimeout(next, toMillis(dueUs - steadyNow()));
+    timer = setTimeout(next, toMillis(dueUs - monotonicNow()));
   };
 
   return {
     start: () => {
       isStopped = false;
-      dueUs = steadyNow();
+      dueUs = monotonicNow();
       next();
     },
     stop: async () => {
--- a/src/rehearsal/stand-in/caller.ts
+++ b/src/rehearsal/stand-in/caller.ts
@@ -1,8 +1,8 @@
 import { Agent, request } from 'undici';
 import { object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { parseJson } from '../../common/json.js';
-import { steadyNow, toMillis, type Micros } from '../../common/micros.js';
+import { monotonicNow, toMillis, type Micros } from '../../common/micros.js';
 import { messageOf } from '../../common/typed-error.js';
 import { parseStreamLine } from '../../router/delivery/stream-line.js';
 import type { CallEnd, CallRecord } from '../history/call-record.js';
@@ -32,7 +32,7 @@
   const agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 });
 
   const call = async (wanted: Call, node: RehearsedNode): Promise<CallRecord> => {
-    const startUs = steadyNow();
+    const startUs = monotonicNow();
     const pieces: string[] = [];
     let firstPieceUs: number | undefined;
     const ended = (end: CallEnd, status: number, more: Partial<CallRecord> = {}): CallRecord => {
@@ -45,7 +45,7 @@
         exchange: undefined,
         startUs,
         firstPieceUs,
-        endUs: steadyNow(),
+        endUs: monotonicNow(),
         end,
         status,
         pieces,
@@ -82,7 +82,7 @@
         const body = await receipt.body.text();
         return parseJson(body, 'bad-message')
           .toMaybe()
-          .chain((value) => checked(errorSchema, value).toMaybe())
+          .chain((value) => validate(errorSchema, value).toMaybe())
           .caseOf({
             Just: ({ outcome, error }) =>
               ended(
@@ -97,15 +97,15 @@
           });
       }
       if (!wanted.isModel) {
-        const answered = checked(receiptSchema, await receipt.body.json());
-        firstPieceUs = steadyNow();
+        const answered = validate(receiptSchema, await receipt.body.json());
+        firstPieceUs = monotonicNow();
         const isOwn = answered.map((value) => value.receipt.includes(`"${wanted.work}"`)).orDefault(false);
         return ended(isOwn ? 'complete' : 'malformed', status, { exchange });
       }
       let rest = '';
       receipt.body.setEncoding('utf8');
       for await (const chunk of receipt.body) {
-        firstPieceUs ??= steadyNow();
+        firstPieceUs ??= monotonicNow();
         rest += String(chunk);
         for (let breakPlace = rest.indexOf('\n'); breakPlace >= 0; breakPlace = rest.indexOf('\n')) {
           const line = parseStreamLine(rest.slice(0, breakPlace));
--- a/src/rehearsal/stand-in/http-desk.ts
+++ b/src/rehearsal/stand-in/http-desk.ts
@@ -1,7 +1,7 @@
 import { object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
-import { httpCall, type HttpReceipt, type HttpCall } from '../../cli/http-call.js';
+import { sendRequest, type HttpResponse, type HttpRequest } from '../../cli/http-client.js';
 import type { RevisionService } from '../../process/operator/operator-service.js';
 import type { OperatorReply } from '../../process/operator/operator-reply.js';
 import { recordSchema } from '../../setup/check/record-schema.js';
@@ -9,9 +9,9 @@
 
 const outcomeSchema = object({ outcome: string().required() });
 
-const wordOf = (proposal: string, { status, body }: HttpReceipt): OperatorReply => {
+const wordOf = (proposal: string, { status, body }: HttpResponse): OperatorReply => {
   const { revision = 0, newest = 0 } = readNumbers(body, ['revision', 'newest']);
-  const outcome = checked(outcomeSchema, body)
+  const outcome = validate(outcomeSchema, body)
     .map((told) => told.outcome)
     .orDefault('');
   switch (status) {
@@ -36,18 +36,18 @@
 
 /** An operator's way to a core machine over HTTP. A call that breaks may have been heard. */
 export const httpDesk = (address: () => string): RevisionService => {
-  const told = async (proposal: string, call: Omit<HttpCall, 'address'>): Promise<OperatorReply> =>
-    (await httpCall({ ...call, address: address() }).run()).caseOf<OperatorReply>({
+  const told = async (proposal: string, call: Omit<HttpRequest, 'address'>): Promise<OperatorReply> =>
+    (await sendRequest({ ...call, address: address() }).run()).caseOf<OperatorReply>({
       Left: (error: TypedError) => ({ type: 'unknown', proposal, error }),
       Right: (receipt) => wordOf(proposal, receipt),
     });
   return {
     read: async () =>
-      (await httpCall({ method: 'GET', address: address(), path: '/operator/setup' }).run()).caseOf<OperatorReply>({
+      (await sendRequest({ method: 'GET', address: address(), path: '/operator/setup' }).run()).caseOf<OperatorReply>({
         Left: (error) => ({ type: 'refused', error }),
         Right: ({ status, body }) => {
           if (status === 404) return { type: 'none' };
-          return checked(recordSchema, body).caseOf<OperatorReply>({
+          return validate(recordSchema, body).caseOf<OperatorReply>({
             Left: () => ({ type: 'refused', error: typedError('unreachable', `status ${status}`) }),
             Right: (record) => ({ type: 'record', record }),
           });
--- a/src/rehearsal/stand-in/open-server.ts
+++ b/src/rehearsal/stand-in/open-server.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
-import { paused } from '../../common/clock/paused.js';
-import { steadyClock } from '../../common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../common/micros.js';
+import { delay } from '../../common/clock/delay.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../common/micros.js';
 import { prefixOf } from '../../decision/ring/prefix.js';
 import { reply } from '../../process/http/reply.js';
 import type { ListedServer } from '../../servers/list/listed-server.js';
@@ -35,7 +35,7 @@
   mostRuns: 64,
 };
 
-const pause = (spanUs: Micros): Promise<void> => paused(steadyClock, spanUs);
+const pause = (spanUs: Micros): Promise<void> => delay(monotonicClock, spanUs);
 
 /** Starts a back end. A model prefills one opening at a time and remembers the newest; a web server answers plainly. */
 export const openStandInServer = async (
@@ -52,7 +52,7 @@
   let light: Promise<void> = Promise.resolve();
   let faultMode: ServerFaultMode = 'well';
   const tell = (type: 'begins' | 'ends', what: OutageType): void =>
-    openTroubleNotes(history, steadyNow).hit(type, listed.id, what);
+    openTroubleNotes(history, monotonicNow).hit(type, listed.id, what);
 
   const prefill = async (opening: string): Promise<boolean> => {
     const prefix = prefixOf(listed.service, opening);
@@ -86,7 +86,7 @@
       exchange: exchange.exchange,
       fromPiece: exchange.fromPiece,
       opening: prefixOf(listed.service, exchange.opening),
-      atUs: steadyNow(),
+      atUs: monotonicNow(),
     };
     history.runs.push(run);
     return run;
@@ -117,7 +117,7 @@
       reply(response, 400, { error: 'bad exchange' });
       return;
     }
-    history.tries.push({ service: listed.service, call: readWorkText(exchange.text).call, atUs: steadyNow() });
+    history.tries.push({ service: listed.service, call: readWorkText(exchange.text).call, atUs: monotonicNow() });
     if (faultMode === 'erring') {
       reply(response, 503, { error: 'erring' });
       return;
@@ -145,7 +145,7 @@
     server.once('error', reject);
     server.listen(port, host, resolve);
   });
-  history.servers.push({ server: listed.id, service: listed.service, openedUs: steadyNow() });
+  history.servers.push({ server: listed.id, service: listed.service, openedUs: monotonicNow() });
   tell('ends', 'down');
   return {
     listed,
--- a/src/rehearsal/stand-in/platform.ts
+++ b/src/rehearsal/stand-in/platform.ts
@@ -1,10 +1,10 @@
 import { request } from 'undici';
 import { boolean, number, object, string } from 'yup';
-import { checked } from '../../common/checked.js';
-import { steadyNow, toMillis, type Micros } from '../../common/micros.js';
+import { validate } from '../../common/validate.js';
+import { monotonicNow, toMillis, type Micros } from '../../common/micros.js';
 import type { ListedServer } from '../../servers/list/listed-server.js';
 import type { ServerList } from '../../servers/list/server-list.js';
-import { oneOf, type Chance } from '../../common/chance.js';
+import { randomItem, type RandomSource } from '../../common/random.js';
 import { noteLeaves } from '../history/note-leaves.js';
 import type { History } from '../history/history.js';
 
@@ -38,9 +38,9 @@
 }).required();
 const readySchema = object({ ready: boolean().required() }).required();
 
-export const openPlatform = (nodes: readonly RehearsedNode[], history: History, chance: Chance): Platform => {
-  const bornUs = steadyNow() - 1_000_000_000;
-  const now = (): number => steadyNow() - bornUs;
+export const openPlatform = (nodes: readonly RehearsedNode[], history: History, chance: RandomSource): Platform => {
+  const bornUs = monotonicNow() - 1_000_000_000;
+  const now = (): number => monotonicNow() - bornUs;
   const ready = new Set<string>();
   const timers: NodeJS.Timeout[] = [];
   let list: ServerList = { version: 1, atUs: now(), servers: [] };
@@ -65,14 +65,14 @@
       const signal = AbortSignal.timeout(toMillis(probeBudgetUs));
       const receipt = await request(`http://${node.http}/ready`, { signal });
       const body: unknown = await receipt.body.json();
-      const isReady = checked(readySchema, body)
+      const isReady = validate(readySchema, body)
         .map((probed) => probed.ready)
         .orDefault(false);
       if (isReady) ready.add(node.node);
       else ready.delete(node.node);
       const counters = await request(`http://${node.http}/partners`, { signal });
       const { revision, digest, version } = await watchedSchema.validate(await counters.body.json());
-      history.watches.push({ node: node.node, boot, atUs: steadyNow(), ready: isReady, revision, digest, version });
+      history.watches.push({ node: node.node, boot, atUs: monotonicNow(), ready: isReady, revision, digest, version });
     } catch {
       ready.delete(node.node);
     }
@@ -91,8 +91,8 @@
     list: () => list,
     show: (servers) => {
       list = { version: list.version + 1, atUs: now(), servers };
-      noteLeaves(history, servers, steadyNow());
-      for (const node of [oneOf(chance, nodes), oneOf(chance, nodes), oneOf(chance, nodes)])
+      noteLeaves(history, servers, monotonicNow());
+      for (const node of [randomItem(chance, nodes), randomItem(chance, nodes), randomItem(chance, nodes)])
         if (node !== undefined) void push(node);
     },
     readyRouters: () => nodes.filter((node) => node.role === 'router' && ready.has(node.node)),
--- a/src/rehearsal/stand-in/read-exchange.ts
+++ b/src/rehearsal/stand-in/read-exchange.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from 'node:http';
 import { number, object, string, type InferType } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { readJsonBody } from '../../process/http/read-body.js';
 
 const schema = object({
@@ -17,5 +17,5 @@
 export const readExchange = async (message: IncomingMessage): Promise<ServerExchange | undefined> =>
   (await readJsonBody(message, 4 << 20, 'bad-exchange'))
     .toMaybe()
-    .chain((value) => checked(schema, value).toMaybe())
+    .chain((value) => validate(schema, value).toMaybe())
     .extract();
--- a/src/router/explain/explain-step.ts
+++ b/src/router/explain/explain-step.ts
@@ -1,5 +1,5 @@
 import { boolean, number, object, string, type InferType } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import type { ReasonType } from '../../decision/machine/effect/reason-type.js';
 import type { TraceStep } from './exchange-trace.js';
 
@@ -72,6 +72,6 @@
 
 /** One step of a trace as a sentence; a step of an unknown kind is printed as JSON. */
 export const explainStep = ({ what, facts }: TraceStep): string =>
-  checked(factsSchema, facts)
+  validate(factsSchema, facts)
     .map((read) => stepSentences[what]?.(read))
     .orDefault(undefined) ?? `${what} ${JSON.stringify(facts)}`;
--- a/src/router/explain/saved-journal.ts
+++ b/src/router/explain/saved-journal.ts
@@ -1,6 +1,6 @@
 import { Left, Right, type Either } from 'purify-ts';
 import { boolean, number, object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { parseJson } from '../../common/json.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
 import type { ExchangeTrace } from './exchange-trace.js';
@@ -30,11 +30,11 @@
   const malformed = parsed.findIndex((line) => line.isLeft());
   if (malformed >= 0) return Left(journalError(malformed + 1, 'not JSON'));
   const values = parsed.map((line) => line.unsafeCoerce());
-  if (checked(headSchema, values[0]).isLeft()) return Left(journalError(1, 'not the header of a ledgehill journal'));
+  if (validate(headSchema, values[0]).isLeft()) return Left(journalError(1, 'not the header of a ledgehill journal'));
   const traceValues = values.slice(1, -1);
   const traces: ExchangeTrace[] = [];
   for (const [index, value] of traceValues.entries()) {
-    const trace = checked(traceSchema, value);
+    const trace = validate(traceSchema, value);
     if (trace.isLeft())
       return Left(
         journalError(
@@ -47,7 +47,7 @@
       );
     trace.ifRight((validTrace) => traces.push(validTrace));
   }
-  return checked(endSchema, values[values.length - 1])
+  return validate(endSchema, values[values.length - 1])
     .mapLeft(() => journalError(lines.length, 'trailer missing: the journal is truncated'))
     .chain((end) =>
       end.stories === traces.length
--- a/src/servers/link/dial-connection.ts
+++ b/src/servers/link/dial-connection.ts
@@ -1,5 +1,5 @@
 import { Left, Right, type Either } from 'purify-ts';
-import { steadyClock } from '../../common/clock/steady-clock.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
 import type { Micros } from '../../common/micros.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
 import { addressParts } from '../../spread/link/address-parts.js';
@@ -16,7 +16,7 @@
       const type = error.message.includes('ECONNREFUSED') ? 'link-refused' : 'link-error';
       resolve(Left(typedError(type, error.message)));
     };
-    const cancelTimer = steadyClock.after(timeoutUs, () => {
+    const cancelTimer = monotonicClock.after(timeoutUs, () => {
       socket.destroy();
       resolve(Left(typedError('link-error', 'TCP connect timed out')));
     });
--- a/src/servers/link/open-link.ts
+++ b/src/servers/link/open-link.ts
@@ -1,7 +1,7 @@
 import { Left, Right, type Either } from 'purify-ts';
 import type { Client } from 'undici';
 import { abortAfter } from '../../common/clock/abort-after.js';
-import { steadyClock } from '../../common/clock/steady-clock.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
 import type { Micros } from '../../common/micros.js';
 import { messageOf, typedError, type TypedError } from '../../common/typed-error.js';
 import type { ListedServer } from '../list/listed-server.js';
@@ -45,7 +45,7 @@
   isOpen,
   close,
   probe: async () => {
-    const { signal, takeBack } = abortAfter(steadyClock, probeTimeoutUs);
+    const { signal, cancel: takeBack } = abortAfter(monotonicClock, probeTimeoutUs);
     try {
       const response = await client.request({
         method: 'GET',
@@ -92,7 +92,7 @@
   };
   client.on('disconnect', close);
   client.on('connectionError', close);
-  const { signal, takeBack } = abortAfter(steadyClock, identityTimeoutUs);
+  const { signal, cancel: takeBack } = abortAfter(monotonicClock, identityTimeoutUs);
   try {
     const response = await client.request({
       method: 'GET',
--- a/src/servers/link/verify-identity.ts
+++ b/src/servers/link/verify-identity.ts
@@ -1,6 +1,6 @@
 import { Left, Right, type Either } from 'purify-ts';
 import { object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { parseJson } from '../../common/json.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
 import type { ListedServer } from '../list/listed-server.js';
@@ -16,7 +16,7 @@
 export const verifyIdentity = (server: ListedServer, text: string): Either<TypedError, void> =>
   parseJson(text, 'bad-message')
     .toMaybe()
-    .chain((value) => checked(identitySchema, value).toMaybe())
+    .chain((value) => validate(identitySchema, value).toMaybe())
     .filter(
       ({ id, incarnation, service }) =>
         id === server.id && incarnation === server.incarnation && service === server.service,
--- a/src/servers/list/check-list.ts
+++ b/src/servers/list/check-list.ts
@@ -1,6 +1,6 @@
 import { Either } from 'purify-ts';
 import { array, number, object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import type { Fault } from '../../common/fault.js';
 import type { ServerList } from './server-list.js';
 
@@ -52,4 +52,4 @@
   .noUnknown();
 
 /** Validates a list that the platform pushed. Left with every fault found. */
-export const checkList = (value: unknown): Either<readonly Fault[], ServerList> => checked(listSchema, value);
+export const checkList = (value: unknown): Either<readonly Fault[], ServerList> => validate(listSchema, value);
--- a/src/servers/source/poller-machine.ts
+++ b/src/servers/source/poller-machine.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { longestStepUs } from '../../common/clock/time-bound.js';
+import { maxClockStepUs } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
 import type { PeerRole } from '../../spread/peer/peer-role.js';
 import { pollerKeyOf } from './reading-stamp.js';
@@ -92,7 +92,7 @@
  */
 export const stepPoller = (view: PollerView, event: PollerEvent): PollerStep => {
   const advanced = { ...view, atUs: Math.max(view.atUs, event.at) };
-  const current = event.at - view.atUs >= longestStepUs ? afterPause(advanced) : advanced;
+  const current = event.at - view.atUs >= maxClockStepUs ? afterPause(advanced) : advanced;
   switch (event.type) {
     case 'tick':
       return isDue(current)
--- a/src/sim/core/claims-scenario.ts
+++ b/src/sim/core/claims-scenario.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import { encodeDurableRecords } from '../../control/wire/durable-record-codec.js';
 import { snapshotRecordsOf } from '../../control/persistence/recovery.js';
 import type { SimRun, SimScenario } from '../sim-run.js';
@@ -46,7 +46,7 @@
   };
   const restartOne = (): void => {
     if (world.now() >= endUs) return;
-    const machine = oneOf(world.chance, fleet.machines);
+    const machine = randomItem(world.chance, fleet.machines);
     faults.push(`${Math.round(world.now() / second)} s: kill ${machine?.name}`);
     machine?.kill();
     world.after(second, () => machine?.start());
--- a/src/sim/core/configuration-load.ts
+++ b/src/sim/core/configuration-load.ts
@@ -1,4 +1,4 @@
-import { oneOf, wholeBelow } from '../../common/chance.js';
+import { randomItem, randomBelow } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import type { ConfigurationClient, DocumentOrder, ToldAnswer } from './configuration-client.js';
 import type { CoreFleet } from './core-fleet.js';
@@ -29,7 +29,7 @@
 ): Promise<ToldAnswer> => {
   let answer: ToldAnswer = 'refused';
   for (let attempt = 0; attempt < mostRepeats; attempt += 1) {
-    const machine = oneOf(fleet.world.chance, machines);
+    const machine = randomItem(fleet.world.chance, machines);
     if (machine === undefined) return answer;
     answer = await client.order(machine, order);
     if (answer === 'committed' || answer === 'conflict') return answer;
@@ -41,7 +41,7 @@
 /** Reads at one machine after another until one gives the version in force. */
 export const readVersion = async (fleet: CoreFleet, client: ConfigurationClient): Promise<number> => {
   for (;;) {
-    const machine = oneOf(fleet.world.chance, fleet.machines);
+    const machine = randomItem(fleet.world.chance, fleet.machines);
     const value = machine === undefined ? undefined : await client.read(machine);
     if (value !== undefined) return value.version;
     await new Promise<void>((resolve) => fleet.world.after(repeatPauseUs, resolve));
@@ -56,7 +56,7 @@
 
   const repeatedly = (everyUs: Micros, act: (machine: SimControl) => void): void => {
     if (world.now() >= plan.untilUs) return;
-    const machine = oneOf(world.chance, machinesNow());
+    const machine = randomItem(world.chance, machinesNow());
     if (machine !== undefined) act(machine);
     world.after(everyUs * 2 * world.chance(), () => repeatedly(everyUs, act));
   };
@@ -68,7 +68,7 @@
       client,
       {
         base,
-        version: base + 1 + wholeBelow(world.chance, 2),
+        version: base + 1 + randomBelow(world.chance, 2),
         title: `document ${orders}`,
         paddingChars: plan.paddingChars?.() ?? 0,
       },
--- a/src/sim/core/core-cuts.ts
+++ b/src/sim/core/core-cuts.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { CoreFleet } from './core-fleet.js';
 import type { SimControl } from './sim-control.js';
 
@@ -29,14 +29,14 @@
   const machine =
     chance() < 0.5
       ? leader
-      : oneOf(
+      : randomItem(
           chance,
           fleet.machines.filter((known) => known !== leader),
         );
-  const direction = oneOf(chance, directions);
+  const direction = randomItem(chance, directions);
   if (machine === undefined || direction === undefined) return undefined;
   const allOthers = fleet.machines.filter((other) => other !== machine);
-  const single = oneOf(chance, allOthers);
+  const single = randomItem(chance, allOthers);
   const others = chance() < 0.3 && single !== undefined ? [single] : allOthers;
   return { machine, others, inward: direction.inward, outward: direction.outward };
 };
--- a/src/sim/core/core-faults.ts
+++ b/src/sim/core/core-faults.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { AskedCore, CoreFleet } from './core-fleet.js';
 import { usualDiskUs, type SimControl } from './sim-control.js';
 
@@ -6,7 +6,7 @@
 
 type Fault = { readonly name: string; readonly bring: (fleet: AskedCore) => void };
 
-const anyMachine = (fleet: CoreFleet): SimControl | undefined => oneOf(fleet.world.chance, fleet.machines);
+const anyMachine = (fleet: CoreFleet): SimControl | undefined => randomItem(fleet.world.chance, fleet.machines);
 
 const upAgain = (fleet: CoreFleet, machine: SimControl): void =>
   fleet.world.after(200_000 + fleet.world.chance() * 4 * second, machine.start);
@@ -201,7 +201,7 @@
 export const bringFaults = (fleet: AskedCore, untilUs: number, tell: (name: string) => void): void => {
   const next = (): void => {
     if (fleet.world.now() >= untilUs) return;
-    const fault = oneOf(fleet.world.chance, faults);
+    const fault = randomItem(fleet.world.chance, faults);
     tell(fault?.name ?? 'none');
     fault?.bring(fleet);
     fleet.world.after(500_000 + fleet.world.chance() * 5 * second, next);
--- a/src/sim/core/core-scenario.ts
+++ b/src/sim/core/core-scenario.ts
@@ -1,4 +1,4 @@
-import { wholeBelow } from '../../common/chance.js';
+import { randomBelow } from '../../common/random.js';
 import type { SimRun, SimScenario } from '../sim-run.js';
 import { sampleSetup } from '../sample-setup.js';
 import { simOperatorService } from './sim-operator-service.js';
@@ -62,8 +62,8 @@
   };
 
   const claim = (): void => {
-    const key = `key-${wholeBelow(world.chance, 60)}`;
-    const exchange = `x-${world.now()}-${wholeBelow(world.chance, 1_000_000)}`;
+    const key = `key-${randomBelow(world.chance, 60)}`;
+    const exchange = `x-${world.now()}-${randomBelow(world.chance, 1_000_000)}`;
     void fleet.client
       .ask({ type: 'propose', command: { type: 'claim', key, exchange, atUs: world.now() } }, 2 * second)
       .then((asked) =>
--- a/src/sim/core/cuts-scenario.ts
+++ b/src/sim/core/cuts-scenario.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import type { SimRun, SimScenario } from '../sim-run.js';
 import { noRedelivery } from '../world/network.js';
@@ -54,7 +54,7 @@
 /** A machine on either side is restarted in the cut, now and then with its seeds in another order. */
 const restartInCut = (fleet: AskedCore, cut: CoreCut, tell: (fault: string) => void): void => {
   const { world } = fleet;
-  const machine = world.chance() < 0.5 ? cut.machine : oneOf(world.chance, fleet.machines);
+  const machine = world.chance() < 0.5 ? cut.machine : randomItem(world.chance, fleet.machines);
   if (machine === undefined) return;
   world.after(world.chance() * (cutUs - settledUs - 3 * second), () => {
     tell(`restart ${machine.name}`);
--- a/src/sim/core/final-checks.ts
+++ b/src/sim/core/final-checks.ts
@@ -1,5 +1,5 @@
 import { isDeepStrictEqual } from 'node:util';
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import { votersOf } from '../../control/machine/log-queries.js';
 import type { ConfigurationClient } from './configuration-client.js';
@@ -19,7 +19,7 @@
   const startedUs = world.now();
   let committedUs: Micros | undefined;
   const attempt = async (number: number): Promise<void> => {
-    const machine = oneOf(
+    const machine = randomItem(
       world.chance,
       fleet.machines.filter((known) => known.isUp()),
     );
--- a/src/sim/core/histories-scenario.ts
+++ b/src/sim/core/histories-scenario.ts
@@ -1,4 +1,4 @@
-import { oneOf, wholeBelow } from '../../common/chance.js';
+import { randomItem, randomBelow } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import type { SimRun, SimScenario } from '../sim-run.js';
 import { openConfigurationClient, countAnswers } from './configuration-client.js';
@@ -22,7 +22,7 @@
 type Tell = (fault: string) => void;
 
 const drawPaddingChars = ({ world }: AskedCore): number =>
-  world.chance() < largeShare ? 200_000 + wholeBelow(world.chance, 800_000) : 1_000 + wholeBelow(world.chance, 4_000);
+  world.chance() < largeShare ? 200_000 + randomBelow(world.chance, 800_000) : 1_000 + randomBelow(world.chance, 4_000);
 
 const restart = ({ world }: AskedCore, machine: SimControl, tell: Tell): void => {
   tell(`restart ${machine.name}`);
@@ -47,7 +47,7 @@
   const { world } = fleet;
   const next = (): void => {
     if (isOver()) return;
-    const machine = oneOf(world.chance, fleet.machines);
+    const machine = randomItem(world.chance, fleet.machines);
     const draw = world.chance();
     if (machine !== undefined && isAllowed()) {
       if (draw < 0.4) restart(fleet, machine, tell);
@@ -67,7 +67,7 @@
   const tell: Tell = (fault) => void faults.push(`${Math.round(world.now() / 1000)} ms: ${fault}`);
   const client = openConfigurationClient(fleet);
   await fleet.playFor(4 * second);
-  const absent = oneOf(world.chance, fleet.machines);
+  const absent = randomItem(world.chance, fleet.machines);
   if (absent === undefined) return { broken: ['no machines'], counts: {}, faults };
   let ordered = 0;
   let isDone = false;
@@ -104,7 +104,7 @@
   if (!isDone) rules.breakRule(`thousand-orders: only ${ordered} orders were answered in 400 s`);
   await fleet.playFor(catchUpUs);
   checkEqualStates(fleet);
-  const emptied = oneOf(world.chance, fleet.machines);
+  const emptied = randomItem(world.chance, fleet.machines);
   tell(`wipe ${emptied?.name}`);
   emptied?.loseDisk();
   await fleet.playFor(second);
--- a/src/sim/core/repeats-scenario.ts
+++ b/src/sim/core/repeats-scenario.ts
@@ -1,4 +1,4 @@
-import { oneOf, wholeBelow } from '../../common/chance.js';
+import { randomItem, randomBelow } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import type { SimRun, SimScenario } from '../sim-run.js';
 import { noRedelivery } from '../world/network.js';
@@ -36,10 +36,10 @@
   round: number,
 ): Promise<readonly DocumentOrder[]> => {
   const { chance } = fleet.world;
-  const orders = Array.from({ length: 1 + wholeBelow(chance, mostAtOnce) }, () => ({
+  const orders = Array.from({ length: 1 + randomBelow(chance, mostAtOnce) }, () => ({
     base,
     version: base + 1,
-    title: `round ${round} operator ${wholeBelow(chance, 3)}`,
+    title: `round ${round} operator ${randomBelow(chance, 3)}`,
   }));
   await Promise.all(orders.map((order) => orderUntilClear(fleet, client, order)));
   return orders;
@@ -70,7 +70,7 @@
   };
   const repeatOld = async (count: number): Promise<void> => {
     for (let repeat = 0; repeat < count; repeat += 1) {
-      const old = oneOf(world.chance, oldOrders);
+      const old = randomItem(world.chance, oldOrders);
       if (old !== undefined) await orderUntilClear(fleet, client, old);
     }
   };
--- a/src/sim/core/replacements.ts
+++ b/src/sim/core/replacements.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import { isVoter } from '../../control/machine/log-queries.js';
 import type { CoreFleet } from './core-fleet.js';
@@ -79,7 +79,7 @@
 
 const losses: readonly Loss[] = [restarted, wiped, replacedUnplanned, replacedPlanned];
 
-export const drawLoss = (fleet: CoreFleet): Loss => oneOf(fleet.world.chance, losses) ?? restarted;
+export const drawLoss = (fleet: CoreFleet): Loss => randomItem(fleet.world.chance, losses) ?? restarted;
 
 /** A machine that votes now, the leader as often as not. */
 export const drawVoter = (fleet: CoreFleet): SimControl | undefined => {
@@ -88,7 +88,7 @@
   const voters = fleet.machines.filter(
     (machine) => machine.isUp() && isVoter(leader.replica(), machine.replica().identity),
   );
-  return fleet.world.chance() < 0.4 ? leader : oneOf(fleet.world.chance, voters);
+  return fleet.world.chance() < 0.4 ? leader : randomItem(fleet.world.chance, voters);
 };
 
 /** How long a replaced machine that came back stays, where it goes again. */
@@ -96,7 +96,7 @@
 
 /** Lets a replaced machine come back with its old disk; as often as not it goes again, which is a loss like others. */
 export const returnRetired = async ({ fleet, tell, retired }: LossSite): Promise<void> => {
-  const machine = oneOf(
+  const machine = randomItem(
     fleet.world.chance,
     retired.filter((known) => !known.isUp()),
   );
--- a/src/sim/core/sim-operator-service.ts
+++ b/src/sim/core/sim-operator-service.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 import { typedError } from '../../common/typed-error.js';
 import type { OperatorService } from '../../process/operator/operator-service.js';
@@ -52,4 +52,4 @@
 
 /** An operator's way to any core machine, drawn anew for each call. */
 export const simOperatorService = (fleet: CoreFleet): OperatorService =>
-  operatorServiceOn(fleet, { machine: () => oneOf(fleet.world.chance, fleet.machines) });
+  operatorServiceOn(fleet, { machine: () => randomItem(fleet.world.chance, fleet.machines) });
--- a/src/sim/disk/memory-folder.ts
+++ b/src/sim/disk/memory-folder.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../../common/chance.js';
+import type { RandomSource } from '../../common/random.js';
 import type { DataFile, DataFolder } from '../../disk/data-folder.js';
 import { applyWriteFate, type UnsyncedWrite, type WriteFates } from './write-fate.js';
 
@@ -8,7 +8,7 @@
    * What a loss of power leaves. A file that was made since the last sync of the folder is there or not, one that was emptied and not
    * synced since may be as it was, and of each unsynced write there is what its fate leaves.
    */
-  readonly afterPowerLoss: (chance: Chance, fates: WriteFates) => MemoryFolder;
+  readonly afterPowerLoss: (chance: RandomSource, fates: WriteFates) => MemoryFolder;
 };
 
 type MemoryFile = {
@@ -59,7 +59,7 @@
 });
 
 /** What a loss of power leaves of a file; undefined where it is gone. */
-const leftOf = (file: MemoryFile, chance: Chance, fates: WriteFates): Buffer | undefined => {
+const leftOf = (file: MemoryFile, chance: RandomSource, fates: WriteFates): Buffer | undefined => {
   if (!file.isInFolder && chance() >= chanceKept) return undefined;
   if (file.former !== undefined && chance() >= chanceKept) return file.former;
   const reached = file.unsynced
--- a/src/sim/disk/write-fate.ts
+++ b/src/sim/disk/write-fate.ts
@@ -1,4 +1,4 @@
-import { wholeBelow, type Chance } from '../../common/chance.js';
+import { randomBelow, type RandomSource } from '../../common/random.js';
 
 /** A write that no sync has covered yet. */
 export type UnsyncedWrite = { readonly offset: number; readonly bytes: Buffer };
@@ -38,14 +38,14 @@
 
 const chanceOfAllLost = 0.2;
 
-const drawnFate = (chance: Chance, { bytes }: UnsyncedWrite): WriteFate => {
+const drawnFate = (chance: RandomSource, { bytes }: UnsyncedWrite): WriteFate => {
   const draw = chance();
   if (draw < 0.3) return { type: 'kept' };
   if (draw < 0.6) return { type: 'lost' };
-  if (draw < 0.8) return { type: 'prefix', bytes: wholeBelow(chance, bytes.length) };
+  if (draw < 0.8) return { type: 'prefix', bytes: randomBelow(chance, bytes.length) };
   return { type: 'sectors', holds: () => chance() < 0.5 };
 };
 
 /** The fates of one loss of power: at times every unsynced write is gone, else each is kept, lost or torn by itself. */
-export const drawnWriteFates = (chance: Chance): WriteFates =>
+export const drawnWriteFates = (chance: RandomSource): WriteFates =>
   chance() < chanceOfAllLost ? allLost : (write) => drawnFate(chance, write);
--- a/src/sim/fleet/fleet-faults.ts
+++ b/src/sim/fleet/fleet-faults.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import { openTroubleNotes } from '../../rehearsal/history/trouble-notes.js';
 import { localities } from '../core/core-fleet.js';
 import type { SimControl } from '../core/sim-control.js';
@@ -15,10 +15,10 @@
 
 const second = 1_000_000;
 
-const anyRouter = (fleet: SimFleet): SimRouter | undefined => oneOf(fleet.world.chance, fleet.routers);
+const anyRouter = (fleet: SimFleet): SimRouter | undefined => randomItem(fleet.world.chance, fleet.routers);
 
 const anyModel = (fleet: SimFleet): SimServer | undefined =>
-  oneOf(
+  randomItem(
     fleet.world.chance,
     fleet.servers().filter((server) => server.listed.service === 'model'),
   );
@@ -68,7 +68,7 @@
 
 /** All that stands in one locality, drawn by lot. */
 const localityOf = (fleet: SimFleet) => {
-  const locality = oneOf(fleet.world.chance, localities);
+  const locality = randomItem(fleet.world.chance, localities);
   return {
     inside: fleet.routers.filter((router) => router.locality === locality),
     machines: fleet.core.machines.filter((machine) => machine.locality === locality),
@@ -121,7 +121,7 @@
     name: 'a server turns grey',
     bring: (fleet) => {
       const server = anyModel(fleet);
-      server?.become(oneOf(fleet.world.chance, ['slow', 'stuck', 'erring'] as const) ?? 'slow');
+      server?.become(randomItem(fleet.world.chance, ['slow', 'stuck', 'erring'] as const) ?? 'slow');
       fleet.world.after(within(fleet, 2 * second, 4 * second), () => server?.become('well'));
     },
   },
@@ -140,7 +140,7 @@
         ...fleet.routers.map((router) => router.node),
         ...fleet.core.machines.map((machine) => machine.node),
       ];
-      oneOf(fleet.world.chance, nodes)?.jump(within(fleet, second, 100 * second));
+      randomItem(fleet.world.chance, nodes)?.jump(within(fleet, second, 100 * second));
     },
   },
   {
--- a/src/sim/fleet/fleet-scenario.ts
+++ b/src/sim/fleet/fleet-scenario.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import { checkHistory } from '../../rehearsal/checker/check-history.js';
 import { countRefusals } from '../../rehearsal/checker/check-refusals.js';
 import { termsOf } from '../../rehearsal/checker/terms-of.js';
@@ -107,7 +107,7 @@
     operateOn(fleet, sizes.routers);
     fleet.world.after(warmUpUs, callers.start);
     const troubleOn = (): void => {
-      const fault = oneOf(fleet.world.chance, faults);
+      const fault = randomItem(fleet.world.chance, faults);
       if (fault === undefined || fleet.world.now() >= troubleEndsUs) return;
       told(fault.name);
       fault.bring(fleet, callers);
--- a/src/sim/fleet/sim-callers.ts
+++ b/src/sim/fleet/sim-callers.ts
@@ -1,7 +1,7 @@
-import { oneOf, wholeBelow } from '../../common/chance.js';
+import { randomItem, randomBelow } from '../../common/random.js';
 import type { CallEnd } from '../../rehearsal/history/call-record.js';
 import type { Call } from '../../rehearsal/stand-in/caller.js';
-import { toRetrySeconds } from '../../common/micros.js';
+import { toRetryAfterSeconds } from '../../common/micros.js';
 import { writeWorkText } from '../../rehearsal/stand-in/work-text.js';
 import { parseStreamLine } from '../../router/delivery/stream-line.js';
 import type { SimFleet } from './sim-fleet.js';
@@ -72,7 +72,11 @@
       hearEnd(count === pieces.length && count === wanted ? 'complete' : 'malformed', undefined, undefined),
     receipt: (_exchange, text) => hearEnd(text.includes(`"${work}"`) ? 'complete' : 'malformed', undefined, undefined),
     refuse: (error, _exchange, retryAfterUs) =>
-      hearEnd('refused', error.type, retryAfterUs === undefined ? undefined : String(toRetrySeconds(retryAfterUs))),
+      hearEnd(
+        'refused',
+        error.type,
+        retryAfterUs === undefined ? undefined : String(toRetryAfterSeconds(retryAfterUs)),
+      ),
     unknown: (error) => hearEnd(error.type === 'repeated-key' ? 'repeated' : 'unknown', error.type, undefined),
     breakOff: () => hearEnd('cut', 'broken off', undefined),
     lose: () => hearEnd(pieces.length > 0 ? 'cut' : 'lost', 'node gone', undefined),
@@ -94,7 +98,7 @@
   const underWay = new Set<string>();
 
   const call = (work: string, name: string, kind: SimKind, opening: string): void => {
-    const router = oneOf(world.chance, platform.readyRouters());
+    const router = randomItem(world.chance, platform.readyRouters());
     if (router === undefined) return;
     const running = `${name}@${router.name} since ${world.now()} us`;
     underWay.add(running);
@@ -118,7 +122,7 @@
     const work = `w${count}`;
     const place = Math.floor(kind.openings ** world.chance());
     const opening = kind.openings > 0 && world.chance() < crowdShare ? 'the one' : `${kind.kind} ${place}`;
-    const times = kind.once && world.chance() < repeatedShare ? 2 + wholeBelow(world.chance, 2) : 1;
+    const times = kind.once && world.chance() < repeatedShare ? 2 + randomBelow(world.chance, 2) : 1;
     for (let time = 0; time < times; time += 1) call(work, `${work}.${time}`, kind, opening);
   };
 
--- a/src/sim/fleet/sim-platform.ts
+++ b/src/sim/fleet/sim-platform.ts
@@ -1,5 +1,5 @@
 import { platformUsOf } from '../../decision/machine/view/decision-view.js';
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import { noteLeaves } from '../../rehearsal/history/note-leaves.js';
 import type { History } from '../../rehearsal/history/history.js';
 import type { ListedServer } from '../../servers/list/listed-server.js';
@@ -86,7 +86,7 @@
       list = { version: list.version + 1, atUs: now(), servers };
       noteLeaves(history, servers, world.now());
       for (let copy = 0; copy < 3; copy += 1) {
-        const target = oneOf(world.chance, reachable);
+        const target = randomItem(world.chance, reachable);
         if (target !== undefined) push(target);
       }
     },
--- a/src/sim/process/sim-node.ts
+++ b/src/sim/process/sim-node.ts
@@ -1,4 +1,4 @@
-import { oneOf } from '../../common/chance.js';
+import { randomItem } from '../../common/random.js';
 import type { Clock } from '../../common/clock/clock.js';
 import type { Micros } from '../../common/micros.js';
 import type { OutageType } from '../../rehearsal/history/outage-type.js';
@@ -109,7 +109,7 @@
       const held = backlog;
       backlog = [];
       const ownBoot = boot;
-      const firstSource = oneOf(world.chance, ['timer', 'news'] as const);
+      const firstSource = randomItem(world.chance, ['timer', 'news'] as const);
       const inOrder = [
         ...held.filter(({ source }) => source === firstSource),
         ...held.filter(({ source }) => source !== firstSource),
--- a/src/sim/world/world.ts
+++ b/src/sim/world/world.ts
@@ -1,10 +1,10 @@
-import { seededChance, type Chance } from '../../common/chance.js';
+import { seededRandom, type RandomSource } from '../../common/random.js';
 import type { Micros } from '../../common/micros.js';
 
 /** A virtual world: one time line, one seeded stream of chance, and what is to happen when. */
 export type World = {
   readonly now: () => Micros;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly after: (span: Micros, act: () => void) => void;
   /** Plays everything that happens before a moment; all that a happening sets going comes to rest before the next one. */
   readonly playUntil: (moment: Micros) => Promise<void>;
@@ -19,7 +19,7 @@
 const atRest = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 export const openWorld = (seed: number): World => {
-  const chance = seededChance(seed);
+  const chance = seededRandom(seed);
   const heap: Due[] = [];
   let nowUs = 0;
   let order = 0;
--- a/src/spread/frame/frame-guard.ts
+++ b/src/spread/frame/frame-guard.ts
@@ -1,5 +1,5 @@
 import { mixed, number, object, string } from 'yup';
-import { typed, unionGuard } from '../../common/union.js';
+import { literalType, unionGuard } from '../../common/union.js';
 import type { CoreReply } from '../../control/machine/core-reply.js';
 import { isCommand } from '../../control/wire/command-guard.js';
 import { isPlainMessage } from '../../control/wire/message-codec.js';
@@ -13,57 +13,57 @@
 const nonNegativeInteger = () => number().required().integer().min(0);
 
 const isCoreRequest = unionGuard<CoreRequest>({
-  propose: object({ type: typed('propose'), command: mixed(isCommand).required() }),
-  read: object({ type: typed('read'), proposal: string().optional() }),
+  propose: object({ type: literalType('propose'), command: mixed(isCommand).required() }),
+  read: object({ type: literalType('read'), proposal: string().optional() }),
 });
 
 const isCoreReply = unionGuard<CoreReply>({
-  applied: object({ type: typed('applied'), outcome: mixed(isCommandOutcome).required() }),
+  applied: object({ type: literalType('applied'), outcome: mixed(isCommandOutcome).required() }),
   record: object({
-    type: typed('record'),
+    type: literalType('record'),
     record: mixed(isSetupRecord).optional().default(undefined),
     outcome: mixed(isProposalOutcome).optional(),
   }),
-  'not-leader': object({ type: typed('not-leader'), leader: string().optional() }),
-  undecided: object({ type: typed('undecided') }),
-  'state-full': object({ type: typed('state-full') }),
+  'not-leader': object({ type: literalType('not-leader'), leader: string().optional() }),
+  undecided: object({ type: literalType('undecided') }),
+  'state-full': object({ type: literalType('state-full') }),
 });
 
 /** Validates a decoded document from another process as a frame. */
 export const isFrame = unionGuard<Frame>({
   digest: mixed(isDigest).required(),
   inquire: object({
-    type: typed('inquire'),
+    type: literalType('inquire'),
     inquiry: nonNegativeInteger(),
     revision: nonNegativeInteger(),
     version: nonNegativeInteger(),
     listDigest: string(),
     base: object({ revision: nonNegativeInteger(), digest: string().required() }).optional().default(undefined),
   }),
-  setup: object({ type: typed('setup'), record: mixed(isSetupRecord).required() }),
-  'setup-delta': object({ type: typed('setup-delta'), delta: mixed(isRecordDelta).required() }),
-  list: object({ type: typed('list'), list: mixed(isServerList).required() }),
+  setup: object({ type: literalType('setup'), record: mixed(isSetupRecord).required() }),
+  'setup-delta': object({ type: literalType('setup-delta'), delta: mixed(isRecordDelta).required() }),
+  list: object({ type: literalType('list'), list: mixed(isServerList).required() }),
   control: object({
-    type: typed('control'),
+    type: literalType('control'),
     identity: string().required(),
     to: string().optional(),
     message: mixed(isPlainMessage).required(),
   }),
   work: object({
-    type: typed('work'),
+    type: literalType('work'),
     server: string().required(),
     service: string().required(),
     tokens: nonNegativeInteger(),
   }),
   'server-failure': object({
-    type: typed('server-failure'),
+    type: literalType('server-failure'),
     server: string().required(),
     cause: string()
       .required()
       .oneOf(['unreachable', 'failed'] as const),
   }),
   'server-load': object({
-    type: typed('server-load'),
+    type: literalType('server-load'),
     server: string().required(),
     running: nonNegativeInteger(),
     waiting: nonNegativeInteger(),
@@ -71,6 +71,10 @@
   }),
   'quota-request': mixed(isQuotaRequestFrame).required(),
   'quota-reply': mixed(isQuotaReplyFrame).required(),
-  request: object({ type: typed('request'), requestId: string().required(), request: mixed(isCoreRequest).required() }),
-  reply: object({ type: typed('reply'), requestId: string().required(), reply: mixed(isCoreReply).required() }),
+  request: object({
+    type: literalType('request'),
+    requestId: string().required(),
+    request: mixed(isCoreRequest).required(),
+  }),
+  reply: object({ type: literalType('reply'), requestId: string().required(), reply: mixed(isCoreReply).required() }),
 });
--- a/src/spread/link/incoming-connection.ts
+++ b/src/spread/link/incoming-connection.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { steadyNow } from '../../common/micros.js';
+import { monotonicNow } from '../../common/micros.js';
 import type { Frame } from '../frame/frame.js';
 import type { FrameEnvelope } from './instance-fence.js';
 import type { LinkIdentity } from './link-identity.js';
@@ -25,10 +25,10 @@
 ): void => {
   let pending: Buffer = Buffer.alloc(0);
   let sender: LinkIdentity | undefined;
-  let lastAckUs = steadyNow();
+  let lastAckUs = monotonicNow();
 
   const acknowledge = (): void => {
-    const nowUs = steadyNow();
+    const nowUs = monotonicNow();
     if (nowUs < lastAckUs + ackIntervalUs) return;
     lastAckUs = nowUs;
     socket.write(ack);
--- a/src/spread/link/outgoing-connection.ts
+++ b/src/spread/link/outgoing-connection.ts
@@ -1,6 +1,6 @@
 import { createConnection } from 'node:net';
-import { steadyClock } from '../../common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../common/micros.js';
+import { monotonicClock } from '../../common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../common/micros.js';
 import type { Frame } from '../frame/frame.js';
 import { addressParts } from './address-parts.js';
 import type { LinkIdentity } from './link-identity.js';
@@ -46,10 +46,10 @@
   let greeting: Buffer = Buffer.alloc(0);
   let instanceIds: Uint8Array | undefined;
   let ackTimer = idleAckTimer;
-  let lastSendUs = steadyNow();
+  let lastSendUs = monotonicNow();
   let isIdleClose = false;
   const destroy = (): void => void socket.destroy();
-  let cancelTimeout = steadyClock.after(dialTimeoutUs, destroy);
+  let cancelTimeout = monotonicClock.after(dialTimeoutUs, destroy);
 
   const write = (pair: Uint8Array, frameBytes: Uint8Array): void => {
     socket.write(Buffer.concat([pair, frameBytes]));
@@ -83,7 +83,7 @@
 
   socket.on('connect', () => {
     cancelTimeout();
-    cancelTimeout = steadyClock.after(greetingTimeoutUs, destroy);
+    cancelTimeout = monotonicClock.after(greetingTimeoutUs, destroy);
   });
   socket.on('data', (chunk: Buffer) => {
     ackTimer = idleAckTimer;
@@ -97,7 +97,7 @@
 
   return {
     send: (frame) => {
-      const nowUs = steadyNow();
+      const nowUs = monotonicNow();
       lastSendUs = nowUs;
       const frameBytes = frameBytesOf(frame);
       if (instanceIds === undefined) {
--- a/src/spread/link/tcp-links.ts
+++ b/src/spread/link/tcp-links.ts
@@ -1,6 +1,6 @@
 import { EventEmitter } from 'node:events';
 import { createServer, type Server, type Socket } from 'node:net';
-import { steadyNow, type Micros } from '../../common/micros.js';
+import { monotonicNow, type Micros } from '../../common/micros.js';
 import type { Frame } from '../frame/frame.js';
 import { readConnection } from './incoming-connection.js';
 import { openInstanceFence, type FrameEnvelope } from './instance-fence.js';
@@ -59,13 +59,13 @@
   const server: Server = createServer(accept);
 
   const dial = (target: string): OutgoingConnection | undefined => {
-    if ((redialAfter.get(target) ?? 0) > steadyNow()) return undefined;
+    if ((redialAfter.get(target) ?? 0) > monotonicNow()) return undefined;
     const connection = openConnection(target, self, {
       badFrame,
       closed: (isIdleClose) => {
         if (connections.get(target) === connection) connections.delete(target);
         if (isIdleClose) redialAfter.delete(target);
-        else redialAfter.set(target, steadyNow() + redialDelayUs);
+        else redialAfter.set(target, monotonicNow() + redialDelayUs);
       },
     });
     connections.set(target, connection);
@@ -82,7 +82,7 @@
     send: (target, frame) => {
       if (isClosed) return;
       const known = connections.get(target);
-      if (known === undefined) closeIdle(steadyNow());
+      if (known === undefined) closeIdle(monotonicNow());
       (known ?? dial(target))?.send(frame);
     },
     close: () => {
--- a/src/spread/link/wire-format.ts
+++ b/src/spread/link/wire-format.ts
@@ -3,7 +3,7 @@
 import { deserialize, serialize } from 'bson';
 import { Either, Left, Right } from 'purify-ts';
 import { object, string } from 'yup';
-import { checked } from '../../common/checked.js';
+import { validate } from '../../common/validate.js';
 import { typedError, type TypedError } from '../../common/typed-error.js';
 import type { Frame } from '../frame/frame.js';
 import { isFrame } from '../frame/frame-guard.js';
@@ -92,7 +92,7 @@
 
 /** Parses a sender's introduction. */
 export const readIntroduction = (bytes: Uint8Array): Either<TypedError, LinkIdentity> =>
-  parseAs(bytes, (document) => checked(introductionSchema, document)).chain((introduction) =>
+  parseAs(bytes, (document) => validate(introductionSchema, document)).chain((introduction) =>
     introduction.mapLeft(() =>
       typedError('bad-message', 'invalid introduction: address, life or fleet is missing or malformed'),
     ),
--- a/src/spread/machine/configuration.ts
+++ b/src/spread/machine/configuration.ts
@@ -1,6 +1,6 @@
-import { isBase, recordBaseOf, recordDeltaOf, withRecordDelta } from '../../setup/delta/record-delta.js';
+import { isBase, recordBaseOf, recordDeltaOf, applyRecordDelta } from '../../setup/delta/record-delta.js';
 import type { RecordBase, RecordDelta } from '../../setup/delta/record-delta.js';
-import { sharedRecord } from '../../setup/delta/shared-record.js';
+import { shareUnchanged } from '../../setup/delta/share-unchanged.js';
 import type { SetupRecord } from '../../setup/document/setup-record.js';
 import { announceChange } from './announce.js';
 import { revisionOf } from './digest.js';
@@ -26,7 +26,7 @@
 /** Adopts a newer configuration and announces it; unchanged parts keep their object identity. */
 export const adoptRecord = (view: GossipView, given: SetupRecord, from?: string): GossipStep => {
   if (given.revision <= revisionOf(view)) return withEffects(view);
-  const record = sharedRecord(view.record, given);
+  const record = shareUnchanged(view.record, given);
   const formerRecords = view.record === undefined ? [] : boundedRecords([view.record, ...view.formerRecords]);
   return announceChange({ ...view, record, formerRecords }, { type: 'setup', record }, from);
 };
@@ -55,7 +55,7 @@
 export const applyDelta = (view: GossipView, delta: RecordDelta, from: string): GossipStep => {
   if (delta.revision <= revisionOf(view)) return withEffects(view);
   const base = knownRecords(view).find((record) => isBase(record, delta.base));
-  const record = base === undefined ? undefined : withRecordDelta(base, delta);
+  const record = base === undefined ? undefined : applyRecordDelta(base, delta);
   return record === undefined
     ? withEffects(view, { type: 'send', address: from, frame: wholeInquiryOf(view) })
     : adoptRecord(view, record, from);
--- a/src/spread/machine/digest.ts
+++ b/src/spread/machine/digest.ts
@@ -1,4 +1,4 @@
-import { boundAt } from '../../common/clock/time-bound.js';
+import { lowerBoundAt } from '../../common/clock/time-bound.js';
 import { isPolledList } from '../../servers/list/polled-list.js';
 import type { ReadingStamp } from '../../servers/source/reading-stamp.js';
 import { staleReadingUs } from '../../servers/source/poller-machine.js';
@@ -35,7 +35,7 @@
 /** A poller sends its own stamp while that is recent, so that two concurrent pollers detect each other. */
 const readingStampToSend = (view: GossipView): ReadingStamp | undefined => {
   if (view.platform === undefined || view.ownReading === undefined) return view.read;
-  return boundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadingUs ? view.ownReading : view.read;
+  return lowerBoundAt(view.platform, view.atUs) <= view.ownReading.atUs + staleReadingUs ? view.ownReading : view.read;
 };
 
 /** Takes the least transmitted updates for one digest and decrements their remaining transmissions. */
@@ -68,7 +68,7 @@
     version: versionOf(view),
     listDigest: listDigestOf(view),
     read: readingStampToSend(view),
-    platformUs: view.platform === undefined ? undefined : boundAt(view.platform, view.atUs),
+    platformUs: view.platform === undefined ? undefined : lowerBoundAt(view.platform, view.atUs),
     partners:
       options.whole === true
         ? [
--- a/src/spread/machine/gossip-view.ts
+++ b/src/spread/machine/gossip-view.ts
@@ -1,4 +1,4 @@
-import type { TimeBound } from '../../common/clock/time-bound.js';
+import type { ClockLowerBound } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
 import { emptyMap, type PersistentMap } from '../../common/persistent-map.js';
 import type { PolledList } from '../../servers/list/polled-list.js';
@@ -29,7 +29,7 @@
   /** The stamp of this node's own latest complete reading. */
   readonly ownReading: ReadingStamp | undefined;
   /** A lower bound of the platform's time. */
-  readonly platform: TimeBound | undefined;
+  readonly platform: ClockLowerBound | undefined;
   /** Live and suspect peers, by address. */
   readonly partners: PersistentMap<string, LivePeer>;
   /** Peers that were declared dead, by address. */
--- a/src/spread/machine/heartbeat.ts
+++ b/src/spread/machine/heartbeat.ts
@@ -1,4 +1,4 @@
-import { boundAt } from '../../common/clock/time-bound.js';
+import { lowerBoundAt } from '../../common/clock/time-bound.js';
 import { sendDigest, sendDigests } from './digest.js';
 import { randomSample } from './random.js';
 import { updatesAbout, applyUpdate } from './membership.js';
@@ -66,7 +66,7 @@
   const isReadingStale =
     view.read !== undefined &&
     view.platform !== undefined &&
-    boundAt(view.platform, view.atUs) > view.read.atUs + maxReadingAgeUs;
+    lowerBoundAt(view.platform, view.atUs) > view.read.atUs + maxReadingAgeUs;
   if (!isReadingStale && view.atUs <= view.lastContactUs + maxContactAgeUs) return withEffects(view);
   const { targets, view: drawnView } = samplePeers(
     { ...view, nextStalenessCheckUs: view.atUs + heartbeatIntervalUs },
--- a/src/spread/machine/reading.ts
+++ b/src/spread/machine/reading.ts
@@ -1,4 +1,4 @@
-import { boundAt } from '../../common/clock/time-bound.js';
+import { lowerBoundAt } from '../../common/clock/time-bound.js';
 import type { Micros } from '../../common/micros.js';
 import { isPolledList } from '../../servers/list/polled-list.js';
 import { applyReading } from '../../servers/source/apply-reading.js';
@@ -31,7 +31,7 @@
 export const onReading = (view: GossipView, reading: ListReading, begunAt: Micros): GossipStep => {
   if (view.list !== undefined && !isPolledList(view.list)) return withEffects(view);
   const platform = view.platform ?? { reachedUs: timelineOriginUs, atUs: view.atUs };
-  const nowUs = boundAt(platform, view.atUs);
+  const nowUs = lowerBoundAt(platform, view.atUs);
   const begunUs = Math.max(0, nowUs - Math.max(0, view.atUs - begunAt));
   const stamp: ReadingStamp = { atUs: begunUs, by: pollerKeyOf(view.self) };
   const readView = reading.whole
@@ -54,7 +54,7 @@
     : andThen(
         withEffects(
           { ...view, read: laterStamp(view.read, read) },
-          { type: 'read', by: read.by, ageUs: Math.max(0, boundAt(view.platform, view.atUs) - read.atUs) },
+          { type: 'read', by: read.by, ageUs: Math.max(0, lowerBoundAt(view.platform, view.atUs) - read.atUs) },
         ),
         (readView) => pushIfLarge(readView, from),
       );
--- a/src/spread/machine/step.ts
+++ b/src/spread/machine/step.ts
@@ -1,4 +1,4 @@
-import { longestStepUs, withoutSpan } from '../../common/clock/time-bound.js';
+import { maxClockStepUs, withoutElapsed } from '../../common/clock/time-bound.js';
 import { emptyMap } from '../../common/persistent-map.js';
 import { applyDelta, adoptRecord } from './configuration.js';
 import { sendDigest } from './digest.js';
@@ -104,9 +104,9 @@
   const nowView: GossipView = {
     ...view,
     atUs: Math.max(view.atUs, event.at),
-    platform: spanUs >= longestStepUs ? withoutSpan(view.platform, spanUs) : view.platform,
+    platform: spanUs >= maxClockStepUs ? withoutElapsed(view.platform, spanUs) : view.platform,
     /** After a gap in its own execution this process cannot judge which responses are late. */
-    pendingProbes: spanUs >= longestStepUs ? emptyMap() : view.pendingProbes,
+    pendingProbes: spanUs >= maxClockStepUs ? emptyMap() : view.pendingProbes,
   };
   const step = onEvent(nowView, event);
   return step.effects.length < 2 ? step : { view: step.view, effects: withoutSuperseded(step.effects) };
--- a/tests/bench/figures.ts
+++ b/tests/bench/figures.ts
@@ -2,7 +2,7 @@
 import { stepDecision } from '../../src/decision/machine/step/step.js';
 import { initialDecisionView, type DecisionView } from '../../src/decision/machine/view/decision-view.js';
 import type { DecisionEvent } from '../../src/decision/machine/event/decision-event.js';
-import { sharedRecord } from '../../src/setup/delta/shared-record.js';
+import { shareUnchanged } from '../../src/setup/delta/share-unchanged.js';
 import type { Rule } from '../../src/setup/document/rule.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
 import { listOf, recordOf, second, serverOf, setup } from '../decision/fixtures.js';
@@ -122,7 +122,7 @@
   ]);
   let record = firstRecord;
   const changes = Array.from({ length: 50 }, (_, place): DecisionEvent => {
-    record = sharedRecord(record, recordAt(2 + place));
+    record = shareUnchanged(record, recordAt(2 + place));
     return { type: 'setup', at: (2 + place) * second, record };
   });
   const beginUs = processorUs();
--- a/tests/bench/record-figures.ts
+++ b/tests/bench/record-figures.ts
@@ -2,7 +2,7 @@
 import { checkSetup } from '../../src/setup/check/check-setup.js';
 import { recordDigestOf } from '../../src/setup/delta/record-digest.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
-import { ruleAt } from '../../src/setup/match/rule-index.js';
+import { matchRule } from '../../src/setup/match/rule-index.js';
 import { frameBytesOf, readFrame } from '../../src/spread/link/wire-format.js';
 import { grownDocument, retryLimits } from '../platform/documents.js';
 
@@ -52,7 +52,7 @@
   const decoded = costOf('decoded', () => void readFrame(bytes));
   const digested = costOf('digested', () => void recordDigestOf(record));
   const lookedUp = costOf(`looked up ${lookUps} times`, () => {
-    for (let place = 0; place < lookUps; place += 1) ruleAt(record.setup, 'ficu95.example', `/p${place % routes}/x`);
+    for (let place = 0; place < lookUps; place += 1) matchRule(record.setup, 'ficu95.example', `/p${place % routes}/x`);
   });
   return [checked, setupChecked, encoded, decoded, digested, lookedUp];
 };
--- a/tests/control/replica-cluster.ts
+++ b/tests/control/replica-cluster.ts
@@ -1,5 +1,5 @@
 import type { Micros } from '../../src/common/micros.js';
-import { seededChance } from '../../src/common/chance.js';
+import { seededRandom } from '../../src/common/random.js';
 import { recoverReplica, snapshotRecordsOf } from '../../src/control/persistence/recovery.js';
 import type { DurableRecord } from '../../src/control/log/durable-record.js';
 import type { ControlEvent } from '../../src/control/machine/control-event.js';
@@ -36,7 +36,7 @@
 
 /** Opens a cluster with the given initial replicas. */
 export const openReplicaCluster = (seed: number, initialReplicas: readonly Replica[]): ReplicaCluster => {
-  const chance = seededChance(seed);
+  const chance = seededRandom(seed);
   const replicas = new Map(initialReplicas.map((replica) => [replica.identity, replica]));
   const persisted = new Map<string, DurableRecord[]>(
     initialReplicas.map((replica) => [replica.identity, [...snapshotRecordsOf(replica)]]),
--- a/tests/decision/router-counts.test.ts
+++ b/tests/decision/router-counts.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { seededChance } from '../../src/common/chance.js';
+import { seededRandom } from '../../src/common/random.js';
 import { canRetry } from '../../src/decision/retry/retry-budget.js';
 import { withRouterCount, greatestCount, type RouterCounts } from '../../src/decision/retry/router-counts.js';
 import { withAttempt, windowUs, type AttemptWindow } from '../../src/decision/retry/attempt-window.js';
@@ -20,7 +20,7 @@
   const fraction = 0.2;
   const fleetExtra = 52;
   for (let seed = 1; seed <= 5; seed += 1) {
-    const chance = seededChance(seed);
+    const chance = seededRandom(seed);
     type Node = { counts: RouterCounts; tries: AttemptWindow; endUs: number; startUs: number };
     const nodes: Node[] = Array.from({ length: 40 }, (_, index) => ({
       counts: [],
--- a/tests/decision/time-line.test.ts
+++ b/tests/decision/time-line.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { seededChance, wholeBelow } from '../../src/common/chance.js';
+import { seededRandom, randomBelow } from '../../src/common/random.js';
 import { positionOf } from '../../src/decision/ring/position.js';
 import { rangeContains } from '../../src/decision/ring/range.js';
 import { serverKeyOf } from '../../src/servers/list/server-key.js';
@@ -65,7 +65,7 @@
 
 test('warm-up covers every previewed range, sends only exchanges of clients, and keeps the pace', () => {
   for (let seed = 1; seed <= 16; seed += 1) {
-    const chance = seededChance(seed);
+    const chance = seededRandom(seed);
     const player = openNode();
     const clientExchanges = new Set<string>();
     const warmingPositions = new Set<number>();
@@ -73,7 +73,7 @@
     const sendRandom = (at: number): void => {
       count += 1;
       clientExchanges.add(`e${count}`);
-      const prefix = `p${wholeBelow(chance, 400)}`;
+      const prefix = `p${randomBelow(chance, 400)}`;
       if (at >= 10 * second) warmingPositions.add(positionOf(prefix));
       runExchange(player, { at, exchange: `e${count}`, kind: chance() < 0.5 ? 'ask' : 'draft', prefix });
     };
--- a/tests/experiment/experiment.test.ts
+++ b/tests/experiment/experiment.test.ts
@@ -1,14 +1,14 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { checked } from '../../src/common/checked.js';
+import { validate } from '../../src/common/validate.js';
 import { policyWithout, defaultPolicy } from '../../src/decision/policy.js';
 import { experimentSchema, type Experiment } from '../../src/experiment/deployment.js';
 import { playExperiment } from '../../src/experiment/play-experiment.js';
 import { playSeeds, spreadOf } from '../../src/experiment/play-seeds.js';
 
 const read = (name: string): Experiment =>
-  checked(experimentSchema, JSON.parse(readFileSync(`examples/experiments/${name}.json`, 'utf8'))).unsafeCoerce();
+  validate(experimentSchema, JSON.parse(readFileSync(`examples/experiments/${name}.json`, 'utf8'))).unsafeCoerce();
 
 /** A few routers and seconds of a deployment that is shipped. */
 const short = (more: Partial<Experiment> = {}): Experiment => ({
@@ -20,7 +20,7 @@
 
 test('the experiments that are shipped hold, and faults in one are named by path', () => {
   assert.is(read('dispatch').routers, 68);
-  const faults = checked(experimentSchema, { ...read('archive'), routers: 0, seconds: 'long' })
+  const faults = validate(experimentSchema, { ...read('archive'), routers: 0, seconds: 'long' })
     .swap()
     .unsafeCoerce();
   assert.equal(faults.map(({ path }) => path).sort(), ['routers', 'seconds']);
--- a/tests/model/cluster.ts
+++ b/tests/model/cluster.ts
@@ -1,5 +1,5 @@
 import type { Micros } from '../../src/common/micros.js';
-import { seededChance } from '../../src/common/chance.js';
+import { seededRandom } from '../../src/common/random.js';
 import type { DurableRecord } from '../../src/control/log/durable-record.js';
 import type { ControlEffect } from '../../src/control/machine/control-effect.js';
 import type { ControlEvent } from '../../src/control/machine/control-event.js';
@@ -101,7 +101,7 @@
 export const broke = (cluster: Cluster, ...rules: readonly string[]): Cluster =>
   rules.length === 0 ? cluster : { ...cluster, broken: [...cluster.broken, ...rules] };
 
-export const chanceOf = (cluster: Cluster): number => seededChance(cluster.steps * 7919 + 1)();
+export const chanceOf = (cluster: Cluster): number => seededRandom(cluster.steps * 7919 + 1)();
 
 const observed = (cluster: Cluster, former: Replica | undefined, replica: Replica): Cluster => {
   const { history, broken } = observe(cluster.history, former, replica, cluster.lost);
--- a/tests/mutants/decision-mutants.ts
+++ b/tests/mutants/decision-mutants.ts
@@ -90,7 +90,7 @@
   {
     name: 'a node that has just begun gives a leaving server its whole grace',
     file: 'src/decision/machine/step/on-list.ts',
-    find: 'server.leavingAtUs - mostGraceUs',
+    find: 'server.leavingAtUs - maxGraceUs',
     put: 'server.leavingAtUs',
     by: test('tests/sim/wake-up.test.js'),
   },
--- a/tests/mutants/disk-mutants.ts
+++ b/tests/mutants/disk-mutants.ts
@@ -19,8 +19,8 @@
   },
   {
     name: 'a foreign file counts as an empty one',
-    file: 'src/disk/read-file.ts',
-    find: 'return mayBeUnfinishedHead(file)\n',
+    file: 'src/disk/read-ring-file.ts',
+    find: 'return canBeTornHeader(file)\n',
     put: 'return file.length > 0\n',
     by: test('tests/disk/open-folder.test.js'),
   },
@@ -48,7 +48,7 @@
   {
     name: 'what an interrupted rotation left stays in its file',
     file: 'src/disk/disk-ring.ts',
-    find: '      await file.write(0, Buffer.alloc(startBytes));\n',
+    find: '      await file.write(0, Buffer.alloc(fileStartBytes));\n',
     put: '',
     by: test('tests/disk/power-loss.test.js'),
   },
--- a/tests/mutants/router-mutants.ts
+++ b/tests/mutants/router-mutants.ts
@@ -132,7 +132,7 @@
   {
     name: 'no refresh after a freeze',
     file: 'src/process/router/refresh-gate.ts',
-    find: '    if (silentUs >= longestStepUs) {',
+    find: '    if (silentUs >= maxClockStepUs) {',
     put: '    if (silentUs < 0) {',
     by: test('tests/sim/wake-up.test.js'),
   },
@@ -153,7 +153,7 @@
   {
     name: 'a draining node takes new exchanges and never ends them',
     file: 'src/process/router/router-node.ts',
-    find: '      while (!isAnswered() && clock.now() < stopDueUs) await paused(clock, drainPollIntervalUs);\n',
+    find: '      while (!isAnswered() && clock.now() < stopDueUs) await delay(clock, drainPollIntervalUs);\n',
     put: '',
     by: seeds('rolling', 'planned-changes-cut-nothing', 2),
   },
@@ -181,7 +181,7 @@
   {
     name: 'a router counts a jump of its own clock as time of the platform',
     file: 'src/process/router/router-task.ts',
-    find: "    if (spanUs >= longestStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });\n",
+    find: "    if (spanUs >= maxClockStepUs) pendingEvents.push({ type: 'gap', at: event.at, spanUs });\n",
     put: '',
     by: test('tests/sim/clocks.test.js'),
   },
--- a/tests/mutants/spread-mutants.ts
+++ b/tests/mutants/spread-mutants.ts
@@ -12,7 +12,7 @@
   },
   {
     name: 'what falls due goes before what has arrived',
-    file: 'src/common/clock/steady-clock.ts',
+    file: 'src/common/clock/monotonic-clock.ts',
     find: '      immediate = setImmediate(act);',
     put: '      act();',
     by: test('tests/router/own-lateness.test.js'),
@@ -27,8 +27,8 @@
   {
     name: 'periodic work falls on moments of its own',
     file: 'src/common/clock/every.ts',
-    find: 'takeBack = clock.after(untilNextMultiple(clock.now(), span), () => {',
-    put: 'takeBack = clock.after(span, () => {',
+    find: 'cancel = clock.after(untilNextMultiple(clock.now(), intervalUs), () => {',
+    put: 'cancel = clock.after(intervalUs, () => {',
     by: test('tests/sim/wake-ups.test.js'),
   },
   {
@@ -83,14 +83,14 @@
   {
     name: 'clocks are trusted to run alike',
     file: 'src/common/clock/time-bound.ts',
-    find: 'export const mostDrift = 500;',
-    put: 'export const mostDrift = 0;',
+    find: 'export const maxDriftPpm = 500;',
+    put: 'export const maxDriftPpm = 0;',
     by: test('tests/sim/clocks.test.js'),
   },
   {
     name: 'a jump of the clock counts as time of the platform',
     file: 'src/spread/machine/step.ts',
-    find: 'spanUs >= longestStepUs ? withoutSpan(view.platform, spanUs) : view.platform',
+    find: 'spanUs >= maxClockStepUs ? withoutElapsed(view.platform, spanUs) : view.platform',
     put: 'view.platform',
     by: test('tests/sim/clocks.test.js'),
   },
--- a/tests/platform/answer-framing.test.ts
+++ b/tests/platform/answer-framing.test.ts
@@ -4,8 +4,8 @@
 import * as assert from 'uvu/assert';
 import { openListSource } from '../../platform/list/open-list-source.js';
 import { dialServer } from '../../platform/server/dial.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { within } from '../../src/common/clock/within.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { raceTimeout } from '../../src/common/clock/race-timeout.js';
 import { dialConnection } from '../../src/servers/link/dial-connection.js';
 import { listedAt } from '../router/loopback.js';
 import { carried, orderOf, type Carried } from './raw/carried.js';
@@ -51,7 +51,7 @@
   );
   const link = (await dialServer({ ...listedAt('i-1', 'readers', 1), address: server.address })).unsafeCoerce();
   try {
-    const made = await within(steadyClock, carried(link, orderOf('a')), wordUs);
+    const made = await raceTimeout(monotonicClock, carried(link, orderOf('a')), wordUs);
     if (made === undefined) throw new Error('no last word in time');
     return made;
   } finally {
@@ -155,7 +155,7 @@
     received: () => received,
     until: (text: string) => seen(() => received.includes(text)),
     isReset: async () => {
-      assert.ok(await within(steadyClock, closed, wordUs), 'the connection stays open');
+      assert.ok(await raceTimeout(monotonicClock, closed, wordUs), 'the connection stays open');
       return connection.isBroken();
     },
   };
--- a/tests/platform/bundled-program.test.ts
+++ b/tests/platform/bundled-program.test.ts
@@ -2,9 +2,9 @@
 import { request } from 'undici';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../src/common/micros.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../src/common/micros.js';
 import { openBundledFleet, type BundledFleet } from './stand-in/bundled-fleet.js';
 import { places } from './stand-in/documents.js';
 import type { FleetNode } from './stand-in/launch-fleet.js';
@@ -29,14 +29,14 @@
   const working = work().finally(() => {
     isDone = true;
   });
-  let doneUs = steadyNow();
+  let doneUs = monotonicNow();
   let longestUs = 0;
-  while (!isDone || steadyNow() < doneUs + watchedUs) {
-    if (!isDone) doneUs = steadyNow();
-    const askedUs = steadyNow();
+  while (!isDone || monotonicNow() < doneUs + watchedUs) {
+    if (!isDone) doneUs = monotonicNow();
+    const askedUs = monotonicNow();
     await (await request(`http://${readyz}/ledgehill/readyz`)).body.dump();
-    longestUs = Math.max(longestUs, steadyNow() - askedUs);
-    await paused(steadyClock, probeSpanUs);
+    longestUs = Math.max(longestUs, monotonicNow() - askedUs);
+    await delay(monotonicClock, probeSpanUs);
   }
   await working;
   return longestUs;
--- a/tests/platform/caller.test.ts
+++ b/tests/platform/caller.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
 import type { Edge } from './raw/open-edge.js';
 import type { RawServer } from './raw/raw-server.js';
 import { answerTo, chunk, event, idIn, post, seen, streamHead, withEdge, type Serve } from './raw/with-edge.js';
@@ -47,7 +47,7 @@
       ])
         assert.is(lines.filter((given) => given.toLowerCase() === line.toLowerCase()).length, 1, line);
       assert.not.match(head, /x-drop|\nte:|proxy-connection|timeout=9/i);
-      await paused(steadyClock, 20_000);
+      await delay(monotonicClock, 20_000);
     }
   }));
 
@@ -303,7 +303,7 @@
       await seen(() => server.received() !== '');
       client.socket.destroy();
       for (let look = 0; look < 200 && server.sockets[0]?.destroyed !== true; look += 1)
-        await paused(steadyClock, 10_000);
+        await delay(monotonicClock, 10_000);
       assert.is(server.sockets[0]?.destroyed, true);
     },
   ));
--- a/tests/platform/connection-states.test.ts
+++ b/tests/platform/connection-states.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { dialServer } from '../../platform/server/dial.js';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { within } from '../../src/common/clock/within.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { raceTimeout } from '../../src/common/clock/race-timeout.js';
 import type { Micros } from '../../src/common/micros.js';
 import type { ForwardHandle } from '../../src/servers/link/forward-handle.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
@@ -92,7 +92,7 @@
 /** Stops reading, and goes on after a while. */
 const readLate = (carriage: ForwardHandle): void => {
   carriage.pause();
-  void paused(steadyClock, pausedUs).then(carriage.resume);
+  void delay(monotonicClock, pausedUs).then(carriage.resume);
 };
 
 const warmUp = async (link: ServerLink): Promise<void> => {
@@ -129,13 +129,13 @@
   closeLink = link.close;
   try {
     if (row.isSecond) await warmUp(link);
-    const made = await within(
-      steadyClock,
+    const made = await raceTimeout(
+      monotonicClock,
       carried(link, orderOf('a'), undefined, row.reader === 'paused' ? readLate : undefined),
       wordUs,
     );
     if (made === undefined) throw new Error('no last word in time');
-    await paused(steadyClock, pausedUs);
+    await delay(monotonicClock, pausedUs);
     return { made, isOpen: link.isOpen() };
   } finally {
     link.close();
@@ -203,7 +203,7 @@
       for (const { bytes, waitMs } of sends) {
         socket.write(text.slice(from, from + bytes));
         from += bytes;
-        if (waitMs > 0) await paused(steadyClock, waitMs * 1_000);
+        if (waitMs > 0) await delay(monotonicClock, waitMs * 1_000);
       }
       if (isReset) socket.write(text.slice(from), () => socket.resetAndDestroy());
       else socket.end(text.slice(from));
@@ -214,14 +214,14 @@
     void (async () => {
       for (const pauseMs of pauses) {
         carriage.pause();
-        await paused(steadyClock, pauseMs * 1_000);
+        await delay(monotonicClock, pauseMs * 1_000);
         carriage.resume();
         await new Promise(setImmediate);
       }
     })();
   };
   try {
-    const made = await within(steadyClock, carried(link, orderOf('a'), undefined, readInTurns), wordUs);
+    const made = await raceTimeout(monotonicClock, carried(link, orderOf('a'), undefined, readInTurns), wordUs);
     assert.ok(made !== undefined, 'no last word in time');
     if (!isReset) assert.is(made.ending, 'end');
     else if (framing === 'none') assert.is(made.ending, 'lost');
--- a/tests/platform/days/days.test.ts
+++ b/tests/platform/days/days.test.ts
@@ -5,7 +5,7 @@
 import { parse } from 'smol-toml';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { seededChance } from '../../../src/common/chance.js';
+import { seededRandom } from '../../../src/common/random.js';
 import { drawDay, longestDayS } from './draw-day.js';
 import { serverRecipes } from './server-recipes.js';
 import { siteOf, type Site } from './site.js';
@@ -66,7 +66,7 @@
   return { ...read.unsafeCoerce(), ...changes };
 };
 
-const dayOf = (seed: number, played = site()): Day => drawDay(seededChance(seed), played, 'day');
+const dayOf = (seed: number, played = site()): Day => drawDay(seededRandom(seed), played, 'day');
 const troublesOf = ({ plan, faults }: Day): readonly Trouble[] => [...plan, ...faults];
 
 const checkTrouble = (trouble: Trouble, day: Day, played: Site): void => {
--- a/tests/platform/days/draw-day.ts
+++ b/tests/platform/days/draw-day.ts
@@ -1,4 +1,4 @@
-import { seededChance, type Chance } from '../../../src/common/chance.js';
+import { seededRandom, type RandomSource } from '../../../src/common/random.js';
 import { changeRecipes, lostAcknowledgementRecipe, stormRecipe } from './change-recipes.js';
 import { between, happens, joinedWords, pick, rounded, wholeBetween } from './draws.js';
 import { coreCutRecipe, coreLossRecipes, hostRecipes, plannedRecipes } from './machine-recipes.js';
@@ -18,20 +18,20 @@
 const dayStride = 0x9e3779b1;
 
 type Placed = { readonly list: TroubleList; readonly trouble: Trouble };
-type DayPart = (chance: Chance, frame: DayFrame) => readonly Placed[];
+type DayPart = (chance: RandomSource, frame: DayFrame) => readonly Placed[];
 
 const lastAtS = ({ lengthS }: DayFrame): number => lengthS - quietEndS;
 
-const placed = (chance: Chance, frame: DayFrame, recipe: Recipe, atS: number): Placed => ({
+const placed = (chance: RandomSource, frame: DayFrame, recipe: Recipe, atS: number): Placed => ({
   list: recipe.list,
   trouble: { at: rounded(atS), kind: recipe.kind, ...recipe.draw(chance, frame) },
 });
 
-const anywhere = (chance: Chance, frame: DayFrame, recipe: Recipe): Placed =>
+const anywhere = (chance: RandomSource, frame: DayFrame, recipe: Recipe): Placed =>
   placed(chance, frame, recipe, between(chance, firstAtS, lastAtS(frame)));
 
 const several = (
-  chance: Chance,
+  chance: RandomSource,
   frame: DayFrame,
   recipes: readonly [Recipe, ...Recipe[]],
   least: number,
@@ -111,7 +111,7 @@
   ...serverPart(chance, frame),
 ];
 
-const drawnClosing = (chance: Chance): Closing | undefined => {
+const drawnClosing = (chance: RandomSource): Closing | undefined => {
   if (happens(chance, 0.1)) return undefined;
   const kind = pick(chance, ['power_off_all', 'wipe_after_ack', 'kill_all']);
   const how = joinedWords(
@@ -129,10 +129,10 @@
     .toSorted((one, other) => one.at - other.at);
 
 /** The stream of draws of the day at this place of a seed; no other day's draws move it. */
-export const chanceOfDay = (seed: number, place: number): Chance => seededChance(seed + (place + 1) * dayStride);
+export const chanceOfDay = (seed: number, place: number): RandomSource => seededRandom(seed + (place + 1) * dayStride);
 
 /** Draws one day for a deployment: a theme of the control side, and other troubles beside it. */
-export const drawDay = (chance: Chance, site: Site, label: string): Day => {
+export const drawDay = (chance: RandomSource, site: Site, label: string): Day => {
   const lengthS = Math.floor(between(chance, site.lengthS, Math.max(site.lengthS, longestDayS)));
   const frame = { site, lengthS };
   const [theme, draw] = pick(chance, themes);
--- a/tests/platform/days/draws.ts
+++ b/tests/platform/days/draws.ts
@@ -1,4 +1,4 @@
-import { wholeBelow, type Chance } from '../../../src/common/chance.js';
+import { randomBelow, type RandomSource } from '../../../src/common/random.js';
 
 const hundredths = 100;
 
@@ -6,22 +6,22 @@
 export const rounded = (value: number): number => Math.round(value * hundredths) / hundredths;
 
 /** A number from `least` up to `most`, in hundredths. */
-export const between = (chance: Chance, least: number, most: number): number =>
+export const between = (chance: RandomSource, least: number, most: number): number =>
   rounded(least + chance() * Math.max(0, most - least));
 
 /** A whole number from `least` to `most`, both included. */
-export const wholeBetween = (chance: Chance, least: number, most: number): number =>
-  least + wholeBelow(chance, Math.max(0, most - least) + 1);
+export const wholeBetween = (chance: RandomSource, least: number, most: number): number =>
+  least + randomBelow(chance, Math.max(0, most - least) + 1);
 
 /** Whether something of this probability happens. */
-export const happens = (chance: Chance, probability: number): boolean => chance() < probability;
+export const happens = (chance: RandomSource, probability: number): boolean => chance() < probability;
 
 /** One of the items, of which there must be at least one. */
-export const pick = <T>(chance: Chance, items: readonly [T, ...T[]]): T =>
-  items[wholeBelow(chance, items.length)] ?? items[0];
+export const pick = <T>(chance: RandomSource, items: readonly [T, ...T[]]): T =>
+  items[randomBelow(chance, items.length)] ?? items[0];
 
 /** Those of the words that a draw of the given probability keeps, in their order and joined by spaces. */
-export const someWords = (chance: Chance, words: readonly string[], probability: number): string =>
+export const someWords = (chance: RandomSource, words: readonly string[], probability: number): string =>
   words.filter(() => happens(chance, probability)).join(' ');
 
 /** The words that are not empty, joined by spaces. */
--- a/tests/platform/days/machine-recipes.ts
+++ b/tests/platform/days/machine-recipes.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../../../src/common/chance.js';
+import type { RandomSource } from '../../../src/common/random.js';
 import { between, happens, joinedWords, pick, someWords, wholeBetween } from './draws.js';
 import type { DayFrame, Recipe } from './recipe.js';
 import type { TroubleFields } from './trouble.js';
@@ -10,19 +10,19 @@
 const returnWords = ['meet', 'race', 'hard'] as const;
 const cutForms = ['', 'one_way', 'reset', 'refuse', 'seeds', 'both', 'seeds both'] as const;
 
-const onReturn = (chance: Chance): string => someWords(chance, returnWords, 0.4);
+const onReturn = (chance: RandomSource): string => someWords(chance, returnWords, 0.4);
 
 /** How long a machine is down: shorter than the bound on an acknowledgement, and longer. */
-const downS = (chance: Chance, { site }: DayFrame): number => between(chance, shortestDownS, site.confirmS * 1.5);
+const downS = (chance: RandomSource, { site }: DayFrame): number => between(chance, shortestDownS, site.confirmS * 1.5);
 
 /** How many core machines go at once: mostly one, now and then as many as may. */
-const lostCount = (chance: Chance, { site }: DayFrame): number =>
+const lostCount = (chance: RandomSource, { site }: DayFrame): number =>
   happens(chance, 0.5) ? 1 : wholeBetween(chance, 1, Math.max(1, site.toleratedMachines));
 
-const cutS = (chance: Chance, { site, lengthS }: DayFrame): number =>
+const cutS = (chance: RandomSource, { site, lengthS }: DayFrame): number =>
   happens(chance, 0.6) ? Math.min(longCutS, lengthS / 2) : between(chance, site.contactS, longCutS);
 
-const coreKill = (chance: Chance, frame: DayFrame): TroubleFields => ({
+const coreKill = (chance: RandomSource, frame: DayFrame): TroubleFields => ({
   on: 'core',
   count: lostCount(chance, frame),
   for_s: downS(chance, frame),
--- a/tests/platform/days/recipe.ts
+++ b/tests/platform/days/recipe.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../../../src/common/chance.js';
+import type { RandomSource } from '../../../src/common/random.js';
 import type { Site } from './site.js';
 import type { TroubleFields, TroubleList } from './trouble.js';
 
@@ -9,5 +9,5 @@
 export type Recipe = {
   readonly kind: string;
   readonly list: TroubleList;
-  readonly draw: (chance: Chance, frame: DayFrame) => TroubleFields;
+  readonly draw: (chance: RandomSource, frame: DayFrame) => TroubleFields;
 };
--- a/tests/platform/days/server-recipes.ts
+++ b/tests/platform/days/server-recipes.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../../../src/common/chance.js';
+import type { RandomSource } from '../../../src/common/random.js';
 import { between, happens, pick } from './draws.js';
 import type { DayFrame, Recipe } from './recipe.js';
 import type { Site } from './site.js';
@@ -7,10 +7,10 @@
 const plannedKinds: readonly string[] = ['release', 'scale_out', 'scale_in'];
 const poolContract = 'pool';
 
-const serviceOf = (chance: Chance, { site }: DayFrame): string =>
+const serviceOf = (chance: RandomSource, { site }: DayFrame): string =>
   site.services[Math.floor(chance() * site.services.length)] ?? '';
 
-const upTo = (chance: Chance, value: number): number => between(chance, value / 2, value * 1.5);
+const upTo = (chance: RandomSource, value: number): number => between(chance, value / 2, value * 1.5);
 
 const commonRecipes: readonly Recipe[] = [
   {
@@ -66,7 +66,7 @@
 const listOf = (kind: string): TroubleList => (plannedKinds.includes(kind) ? 'plan' : 'faults');
 
 /** The deployment's own entry with its span and parts drawn around its figures. */
-const variedFields = (chance: Chance, entry: TroubleFields): TroubleFields => ({
+const variedFields = (chance: RandomSource, entry: TroubleFields): TroubleFields => ({
   ...(entry.for_s === undefined ? {} : { for_s: upTo(chance, entry.for_s) }),
   ...(entry.gap_s === undefined ? {} : { gap_s: upTo(chance, entry.gap_s) }),
   ...(entry.share === undefined ? {} : { share: Math.min(1, upTo(chance, entry.share)) }),
@@ -90,4 +90,4 @@
 ];
 
 /** Whether a day of this draw has troubles of servers at all. */
-export const hasServerTroubles = (chance: Chance): boolean => happens(chance, 0.6);
+export const hasServerTroubles = (chance: RandomSource): boolean => happens(chance, 0.6);
--- a/tests/platform/days/site.ts
+++ b/tests/platform/days/site.ts
@@ -1,6 +1,6 @@
 import type { Either } from 'purify-ts';
 import { array, number, object, string } from 'yup';
-import { checked } from '../../../src/common/checked.js';
+import { validate } from '../../../src/common/validate.js';
 import type { Fault } from '../../../src/common/fault.js';
 import type { Trouble } from './trouble.js';
 
@@ -68,7 +68,7 @@
 
 /** Reads what the generator needs of a parsed site file, or lists what is wrong with it. */
 export const siteOf = (document: unknown): Either<readonly Fault[], Site> =>
-  checked(siteSchema, document).map((file) => ({
+  validate(siteSchema, document).map((file) => ({
     name: file.name,
     lengthS: file.length_s,
     contracts: file.contracts,
--- a/tests/platform/days/vary-site.test.ts
+++ b/tests/platform/days/vary-site.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { seededChance } from '../../../src/common/chance.js';
+import { seededRandom } from '../../../src/common/random.js';
 import { siteOf, type Site } from './site.js';
 import { plain, siteDocument } from './site-document.js';
 import { drawVariation, varySite, type Variation } from './vary-site.js';
@@ -53,7 +53,7 @@
 test('the lag of the list stays whole milliseconds, as site files have it', () => {
   fc.assert(
     fc.property(fc.integer(), (seed) => {
-      const { discovery } = varySite(siteDocument(), drawVariation(seededChance(seed)));
+      const { discovery } = varySite(siteDocument(), drawVariation(seededRandom(seed)));
       assert.ok(Number.isInteger(lagOf(discovery)), JSON.stringify(discovery));
     }),
   );
@@ -62,7 +62,7 @@
 test('every drawn variation leaves a deployment that can be read, with a majority beyond what may be lost', () => {
   fc.assert(
     fc.property(fc.integer(), (seed) => {
-      const read = siteOf(varySite(siteDocument(), drawVariation(seededChance(seed)))).unsafeCoerce();
+      const read = siteOf(varySite(siteDocument(), drawVariation(seededRandom(seed)))).unsafeCoerce();
       assert.ok(read.coreMachines >= 2 * read.toleratedMachines + 1);
       assert.ok(read.syncS > 0);
     }),
--- a/tests/platform/days/vary-site.ts
+++ b/tests/platform/days/vary-site.ts
@@ -1,5 +1,5 @@
 import type { TomlTable, TomlValue } from 'smol-toml';
-import type { Chance } from '../../../src/common/chance.js';
+import type { RandomSource } from '../../../src/common/random.js';
 import { between, happens } from './draws.js';
 
 const coreClass = 'core';
@@ -18,7 +18,7 @@
 };
 
 /** Draws the changes to a deployment. */
-export const drawVariation = (chance: Chance): Variation => ({
+export const drawVariation = (chance: RandomSource): Variation => ({
   isCoreOfFive: happens(chance, 0.5),
   syncFactor: between(chance, 0.5, 2),
   listLagFactor: between(chance, 0.5, 2),
--- a/tests/platform/keys.test.ts
+++ b/tests/platform/keys.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
 import { listedAt } from '../router/loopback.js';
 import { coreWith, edgeDocument, openEdge, type Edge, type RawClient } from './raw/open-edge.js';
 import { openRawServer, type RawServer } from './raw/raw-server.js';
@@ -150,7 +150,7 @@
     release();
     const answer = await waiting.until('\r\n\r\n');
     assert.match(answer, /^HTTP\/1.1 401 /);
-    await paused(steadyClock, 50_000);
+    await delay(monotonicClock, 50_000);
     assert.not.match(server.received(), /held/);
     assert.is(edge.node.counters.read()['keys.revokedInFlight'], 1);
   }, slowFirst);
--- a/tests/platform/limits.test.ts
+++ b/tests/platform/limits.test.ts
@@ -5,14 +5,14 @@
 import * as assert from 'uvu/assert';
 import { openClientTimeLimits } from '../../src/process/http/client-time-limits.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
-import type { CallerLimits } from '../../src/setup/document/caller-limits.js';
+import type { ClientLimits } from '../../src/setup/document/client-limits.js';
 import type { Edge } from './raw/open-edge.js';
 import { answerTo, post, seen, withEdge, type Serve } from './raw/with-edge.js';
 
 const ok: Serve = (socket, request) => socket.write(answerTo(request, 'ok'));
 
 /** Puts a configuration with other limits in force. */
-const limit = (edge: Edge, limits: Partial<CallerLimits>): void => {
+const limit = (edge: Edge, limits: Partial<ClientLimits>): void => {
   const { record } = edge.node.router.view();
   if (record?.setup.callers === undefined) throw new Error('no configuration is in force');
   const callers = { ...record.setup.callers, ...limits };
--- a/tests/platform/raw/open-edge.ts
+++ b/tests/platform/raw/open-edge.ts
@@ -3,9 +3,9 @@
 import { openEdgeServer } from '../../../platform/client/edge-server.js';
 import { setupOfDocument } from '../../../platform/operator/setup-of-document.js';
 import { dialServer } from '../../../platform/server/dial.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow } from '../../../src/common/micros.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow } from '../../../src/common/micros.js';
 import type { CoreReply } from '../../../src/control/machine/core-reply.js';
 import { applyCommand } from '../../../src/control/state/apply.js';
 import { emptyReplicatedState } from '../../../src/control/state/replicated-state.js';
@@ -141,10 +141,10 @@
     isEnded = true;
   });
   const wait = async (isSo: () => boolean): Promise<string> => {
-    const dueUs = steadyNow() + waitUs;
+    const dueUs = monotonicNow() + waitUs;
     while (!isSo()) {
-      if (steadyNow() > dueUs) throw new Error(`nothing came of it: ${JSON.stringify(received.slice(0, 500))}`);
-      await paused(steadyClock, 5_000);
+      if (monotonicNow() > dueUs) throw new Error(`nothing came of it: ${JSON.stringify(received.slice(0, 500))}`);
+      await delay(monotonicClock, 5_000);
     }
     return received;
   };
@@ -183,13 +183,13 @@
   await server.listen();
   await node.start();
   for (let look = 0; look < 600 && waitsForCore && node.router.view().record === undefined; look += 1)
-    await paused(steadyClock, 5_000);
+    await delay(monotonicClock, 5_000);
   return {
     node,
     address: http,
     show: (servers) => {
       version += 1;
-      node.spread.offerList({ version, atUs: steadyNow() + version, servers });
+      node.spread.offerList({ version, atUs: monotonicNow() + version, servers });
     },
     retire: () => {
       callers.closeAfterNewest();
--- a/tests/platform/raw/slow-caller.ts
+++ b/tests/platform/raw/slow-caller.ts
@@ -1,6 +1,6 @@
 import { createConnection } from 'node:net';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
 import type { Micros } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
 import { places, standInTenant } from '../stand-in/documents.js';
@@ -29,9 +29,9 @@
   const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
   socket.pause();
   socket.write(requestOf(target, id));
-  await paused(steadyClock, waitUs);
+  await delay(monotonicClock, waitUs);
   socket.resume();
-  const stop = steadyClock.after(answerWithinUs, () => socket.destroy());
+  const stop = monotonicClock.after(answerWithinUs, () => socket.destroy());
   await closed;
   stop();
   return Buffer.concat(chunks).toString('latin1');
@@ -61,7 +61,7 @@
 export const answersWith = async (edge: string, target: string, body: string): Promise<boolean> => {
   for (let place = 0; place < tries; place += 1) {
     if (wholeBodyOf(await askSlowly(edge, target, `${target}-${place}`, 0)) === body) return true;
-    await paused(steadyClock, tryPauseUs);
+    await delay(monotonicClock, tryPauseUs);
   }
   return false;
 };
--- a/tests/platform/raw/with-edge.ts
+++ b/tests/platform/raw/with-edge.ts
@@ -1,7 +1,7 @@
 import type { Socket } from 'node:net';
 import * as assert from 'uvu/assert';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
 import { listedAt } from '../../router/loopback.js';
 import { openEdge, type Edge } from './open-edge.js';
 import { openRawServer, type RawServer } from './raw-server.js';
@@ -64,6 +64,6 @@
 };
 
 export const seen = async (isSo: () => boolean): Promise<void> => {
-  for (let look = 0; look < 1_000 && !isSo(); look += 1) await paused(steadyClock, 3_000);
+  for (let look = 0; look < 1_000 && !isSo(); look += 1) await delay(monotonicClock, 3_000);
   assert.ok(isSo(), 'it was not seen in time');
 };
--- a/tests/platform/server-link.test.ts
+++ b/tests/platform/server-link.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { dialServer } from '../../platform/server/dial.js';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { within } from '../../src/common/clock/within.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { raceTimeout } from '../../src/common/clock/race-timeout.js';
 import type { ServerLink } from '../../src/servers/link/server-link.js';
 import { listedAt } from '../router/loopback.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
@@ -34,13 +34,13 @@
 };
 
 const bounded = async (work: Promise<Carried>): Promise<Carried> => {
-  const done = await within(steadyClock, work, 3_000_000);
+  const done = await raceTimeout(monotonicClock, work, 3_000_000);
   if (done === undefined) throw new Error('no last word within three seconds');
   return done;
 };
 
 const closed = async (link: ServerLink): Promise<boolean> => {
-  for (let look = 0; look < 100 && link.isOpen(); look += 1) await paused(steadyClock, 10_000);
+  for (let look = 0; look < 100 && link.isOpen(); look += 1) await delay(monotonicClock, 10_000);
   return !link.isOpen();
 };
 
@@ -238,7 +238,7 @@
         lost: () => (words += 1),
       });
       for (let look = 0; look < 100 && !server.received().endsWith('\x00\xff\r\n'); look += 1)
-        await paused(steadyClock, 10_000);
+        await delay(monotonicClock, 10_000);
       carriage?.cancel();
       assert.not.ok(link.isOpen());
       await new Promise<void>((resolve) => {
--- a/tests/platform/soak/pipelined-clients.ts
+++ b/tests/platform/soak/pipelined-clients.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from 'node:crypto';
 import { createConnection, type Socket } from 'node:net';
-import { wholeBelow, type Chance } from '../../../src/common/chance.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../../src/common/micros.js';
+import { randomBelow, type RandomSource } from '../../../src/common/random.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
 import { openAnswerReader, type ReadAnswer } from '../stand-in/answer-reader.js';
 import { standInTenant } from '../stand-in/documents.js';
@@ -67,19 +67,23 @@
  * Clients that send several requests, some with large or slow bodies, before they read an answer, and use a connection until
  * it ends, whatever its node says of itself.
  */
-export const openPipelinedClients = (seen: Seen, chance: Chance, pick: () => string | undefined): PipelinedClients => {
+export const openPipelinedClients = (
+  seen: Seen,
+  chance: RandomSource,
+  pick: () => string | undefined,
+): PipelinedClients => {
   const requests: PipelinedRequest[] = [];
   const running: Promise<void>[] = [];
   let isOver = false;
 
   const drawn = (): Sent => {
     const attempt = randomBytes(8).toString('hex');
-    const size = wholeBelow(chance, 100) < largePercent ? largeBodyBytes : 100;
-    return { attempt, body: `${attempt} `.repeat(Math.ceil(size / (attempt.length + 1))), sentUs: steadyNow() };
+    const size = randomBelow(chance, 100) < largePercent ? largeBodyBytes : 100;
+    return { attempt, body: `${attempt} `.repeat(Math.ceil(size / (attempt.length + 1))), sentUs: monotonicNow() };
   };
 
   const note = ({ attempt, body, sentUs }: Sent, node: string, answer: ReadAnswer | undefined): void => {
-    const endUs = steadyNow();
+    const endUs = monotonicNow();
     const status = answer?.status ?? 0;
     requests.push({ attempt, node, sentUs, endUs, status });
     seen.tries.push({
@@ -103,20 +107,20 @@
   };
 
   const write = async (socket: Socket, bytes: Buffer): Promise<void> => {
-    if (wholeBelow(chance, 100) >= slowPercent) {
+    if (randomBelow(chance, 100) >= slowPercent) {
       socket.write(bytes);
       return;
     }
     const pieceBytes = Math.ceil(bytes.length / slowPieces);
     for (let place = 0; place < bytes.length && !socket.destroyed; place += pieceBytes) {
       socket.write(bytes.subarray(place, place + pieceBytes));
-      await paused(steadyClock, slowPieceUs);
+      await delay(monotonicClock, slowPieceUs);
     }
   };
 
   /** Sends some requests together, and waits for their answers or the end of the connection. */
   const sendTogether = async (socket: Socket, node: string): Promise<void> => {
-    const sent = Array.from({ length: 1 + wholeBelow(chance, mostTogether) }, drawn);
+    const sent = Array.from({ length: 1 + randomBelow(chance, mostTogether) }, drawn);
     const read = openAnswerReader();
     let answered = 0;
     const whole = new Promise<void>((resolve) => {
@@ -131,7 +135,7 @@
       socket.once('close', () => resolve());
     });
     await write(socket, Buffer.concat(sent.map(bytesOf)));
-    const takeBack = steadyClock.after(answerUs, () => socket.destroy());
+    const takeBack = monotonicClock.after(answerUs, () => socket.destroy());
     await whole;
     takeBack();
     socket.removeAllListeners('data');
@@ -145,10 +149,10 @@
       const socket = node === undefined ? undefined : await connected(node);
       while (node !== undefined && socket !== undefined && !socket.destroyed && !isOver) {
         await sendTogether(socket, node);
-        await paused(steadyClock, betweenUs);
+        await delay(monotonicClock, betweenUs);
       }
       socket?.destroy();
-      await paused(steadyClock, reconnectUs);
+      await delay(monotonicClock, reconnectUs);
     }
   };
 
--- a/tests/platform/soak/play-soak.ts
+++ b/tests/platform/soak/play-soak.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from 'node:fs';
-import { oneOf, seededChance, wholeBelow, type Chance } from '../../../src/common/chance.js';
-import { every } from '../../../src/common/clock/every.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../../src/common/micros.js';
+import { randomItem, seededRandom, randomBelow, type RandomSource } from '../../../src/common/random.js';
+import { callEvery } from '../../../src/common/clock/every.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../../src/common/micros.js';
 import { alarmsIn } from '../../../src/rehearsal/checker/broken-promises.js';
 import { unservedOf } from './unserved.js';
 import { judgeSoak } from './judge-soak.js';
@@ -39,19 +39,19 @@
 const spreadUs = 1_500_000;
 
 const until = async (world: SoakWorld, isSo: () => boolean, budgetUs: Micros): Promise<boolean> => {
-  const dueUs = steadyNow() + budgetUs;
-  while (!isSo() && steadyNow() < dueUs) await world.pause(lookUs);
+  const dueUs = monotonicNow() + budgetUs;
+  while (!isSo() && monotonicNow() < dueUs) await world.pause(lookUs);
   return isSo();
 };
 
 /** Two or three troubles of different kinds. */
-const drawRound = (chance: Chance): readonly Trouble[] => {
+const drawRound = (chance: RandomSource): readonly Trouble[] => {
   const drawn: Trouble[] = [];
   let left = troubleKinds;
-  const count = 2 + wholeBelow(chance, 2);
+  const count = 2 + randomBelow(chance, 2);
   while (drawn.length < count) {
-    const kind = oneOf(chance, left);
-    const trouble = kind === undefined ? undefined : oneOf(chance, kind);
+    const kind = randomItem(chance, left);
+    const trouble = kind === undefined ? undefined : randomItem(chance, kind);
     if (kind === undefined || trouble === undefined) break;
     left = left.filter((other) => other !== kind);
     drawn.push(trouble);
@@ -62,7 +62,7 @@
 const playRound = async (world: SoakWorld, round: readonly Trouble[]): Promise<void> => {
   await Promise.all(
     round.map(async ({ act }) => {
-      await world.pause(wholeBelow(world.chance, spreadUs));
+      await world.pause(randomBelow(world.chance, spreadUs));
       await act(world);
     }),
   );
@@ -90,21 +90,21 @@
 
 /** Plays one soak on real processes of the deployed roles. */
 export const playSoak = async ({ seed, rounds, tell }: SoakPlan): Promise<SoakEnd> => {
-  const chance = seededChance(seed);
+  const chance = seededRandom(seed);
   const plan = Array.from({ length: rounds }, () => drawRound(chance));
   const world = await openSoakWorld(chance);
   let endReads = (): void => undefined;
   try {
     await started(world);
     world.startTraffic();
-    endReads = every(steadyClock, readSpanUs, () => void world.operator.read());
+    endReads = callEvery(monotonicClock, readSpanUs, () => void world.operator.read());
     await world.pause(second);
     for (const round of plan) {
       tell(`seed ${seed}: ${round.map(({ name }) => name).join(' + ')}`);
       await playRound(world, round);
     }
     const isBack = await until(world, world.areAllReady, healUs);
-    const wholeUs = steadyNow();
+    const wholeUs = monotonicNow();
     await world.pause(calmUs);
     await world.stopTraffic();
     endReads();
--- a/tests/platform/soak/slow-readers.ts
+++ b/tests/platform/soak/slow-readers.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from 'node:crypto';
 import { createConnection } from 'node:net';
-import { oneOf, wholeBelow, type Chance } from '../../../src/common/chance.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../../src/common/micros.js';
+import { randomItem, randomBelow, type RandomSource } from '../../../src/common/random.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
 import { openAnswerReader } from '../stand-in/answer-reader.js';
 import { standInTenant } from '../stand-in/documents.js';
@@ -59,36 +59,36 @@
   const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
   socket.pause();
   socket.write(headOf(call));
-  await paused(steadyClock, call.waitUs);
+  await delay(monotonicClock, call.waitUs);
   if (call.leaves) socket.destroy();
   else socket.resume();
-  const takeBack = steadyClock.after(answerUs, () => socket.destroy());
+  const takeBack = monotonicClock.after(answerUs, () => socket.destroy());
   await closed;
   takeBack();
   return Buffer.concat(chunks).toString('latin1');
 };
 
 /** Opens the clients; `pick` gives the node for a new connection. */
-export const openSlowReaders = (seen: Seen, chance: Chance, pick: () => string | undefined): SlowReaders => {
+export const openSlowReaders = (seen: Seen, chance: RandomSource, pick: () => string | undefined): SlowReaders => {
   const running: Promise<void>[] = [];
   let isOver = false;
 
   const drawn = (node: string): Call => {
     const attempt = randomBytes(8).toString('hex');
-    const framing = oneOf(chance, answerFramings) ?? 'length';
-    const bytes = leastBytes + wholeBelow(chance, mostBytes - leastBytes);
+    const framing = randomItem(chance, answerFramings) ?? 'length';
+    const bytes = leastBytes + randomBelow(chance, mostBytes - leastBytes);
     return {
       attempt,
       body: largeAnswerText({ bytes, framing }, attempt),
       node,
-      waitUs: wholeBelow(chance, mostWaitMs) * 1_000,
-      leaves: wholeBelow(chance, 100) < leavePercent,
+      waitUs: randomBelow(chance, mostWaitMs) * 1_000,
+      leaves: randomBelow(chance, 100) < leavePercent,
     };
   };
 
   const ask = async (call: Call): Promise<void> => {
     const { attempt, body, node } = call;
-    const sentUs = steadyNow();
+    const sentUs = monotonicNow();
     const [answer] = openAnswerReader()(await bytesOf(call));
     seen.tries.push({
       attempt,
@@ -101,7 +101,7 @@
       lastEventId: 0,
       events: 0,
       sentUs,
-      endUs: steadyNow(),
+      endUs: monotonicNow(),
       status: answer?.status ?? 0,
       seal: answer?.seal,
       bytes: answer?.body ?? '',
@@ -114,7 +114,7 @@
     while (!isOver) {
       const node = pick();
       if (node !== undefined) await ask(drawn(node));
-      await paused(steadyClock, betweenUs);
+      await delay(monotonicClock, betweenUs);
     }
   };
 
--- a/tests/platform/soak/soak-operator.ts
+++ b/tests/platform/soak/soak-operator.ts
@@ -1,8 +1,8 @@
 import { request } from 'undici';
-import { oneOf, wholeBelow, type Chance } from '../../../src/common/chance.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, toMillis, type Micros } from '../../../src/common/micros.js';
+import { randomItem, randomBelow, type RandomSource } from '../../../src/common/random.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, toMillis, type Micros } from '../../../src/common/micros.js';
 import { invalidDocument, soakDocument, type DocumentWish } from './soak-document.js';
 
 /** A document that was sent, and what was said of it. */
@@ -49,7 +49,7 @@
 
 const versionIn = (text: string): number => Number(/^\{"ver":(\d+)/.exec(text)?.[1] ?? 0);
 
-export const openSoakOperator = (nodes: readonly string[], chance: Chance): SoakOperator => {
+export const openSoakOperator = (nodes: readonly string[], chance: RandomSource): SoakOperator => {
   const puts: PutRecord[] = [];
   const reads: ReadRecord[] = [];
   /** Versions are never used again, whatever came of them. */
@@ -60,7 +60,7 @@
     [...puts, ...reads].reduce((most, { status, version }) => (status === 200 ? Math.max(most, version) : most), 0);
 
   const nextVersion = (): number => {
-    lastVersion += 1 + wholeBelow(chance, mostStep);
+    lastVersion += 1 + randomBelow(chance, mostStep);
     return lastVersion;
   };
 
@@ -87,17 +87,17 @@
     }
   };
 
-  const anyNode = (): string => oneOf(chance, nodes) ?? '';
+  const anyNode = (): string => randomItem(chance, nodes) ?? '';
 
   /** Sends the same document again and again, to any machine, until it is decided. */
   const send = async (text: string, version: number, base: number, isInvalid: boolean, budgetUs: Micros) => {
-    const dueUs = steadyNow() + budgetUs;
+    const dueUs = monotonicNow() + budgetUs;
     let told = await call(anyNode(), 'PUT', text, base);
-    while (!isDecided(told.status) && steadyNow() < dueUs) {
-      await paused(steadyClock, pauseUs);
+    while (!isDecided(told.status) && monotonicNow() < dueUs) {
+      await delay(monotonicClock, pauseUs);
       told = await call(anyNode(), 'PUT', text, base);
     }
-    const record: PutRecord = { version, base, text, isInvalid, status: told.status, toldUs: steadyNow() };
+    const record: PutRecord = { version, base, text, isInvalid, status: told.status, toldUs: monotonicNow() };
     puts.push(record);
     return record;
   };
@@ -130,11 +130,11 @@
       const base = newest();
       const version = nextVersion();
       const text = soakDocument(version, { ...usualWish, writer: 'lost' });
-      await call(anyNode(), 'PUT', text, base, 1_000 + wholeBelow(chance, 40_000));
+      await call(anyNode(), 'PUT', text, base, 1_000 + randomBelow(chance, 40_000));
       await send(text, version, base, false, changeUs);
     },
     read: async () => {
-      const sentUs = steadyNow();
+      const sentUs = monotonicNow();
       const { status, text } = await call(anyNode(), 'GET');
       const record: ReadRecord = { sentUs, status, version: versionIn(text), text };
       reads.push(record);
--- a/tests/platform/soak/soak-troubles.ts
+++ b/tests/platform/soak/soak-troubles.ts
@@ -1,5 +1,5 @@
-import { oneOf, wholeBelow } from '../../../src/common/chance.js';
-import { steadyNow } from '../../../src/common/micros.js';
+import { randomItem, randomBelow } from '../../../src/common/random.js';
+import { monotonicNow } from '../../../src/common/micros.js';
 import type { LaunchedNode } from '../../../src/rehearsal/launcher/launched-node.js';
 import type { FleetNode } from '../stand-in/launch-fleet.js';
 import { losePowerIn } from './lose-power.js';
@@ -17,16 +17,16 @@
 const second = 1_000_000;
 
 const oneNode = ({ chance }: SoakWorld, nodes: readonly FleetNode[]): LaunchedNode | undefined =>
-  oneOf(chance, nodes)?.launched;
+  randomItem(chance, nodes)?.launched;
 
 const launchedOf = (nodes: readonly FleetNode[]): readonly LaunchedNode[] => nodes.map(({ launched }) => launched);
 
 /** Notes from when to when processes are hit by what is done to them. */
 const hit = async (world: SoakWorld, nodes: readonly LaunchedNode[], act: () => Promise<void>): Promise<void> => {
-  const hits = nodes.map(({ node }): Hit => ({ node, fromUs: steadyNow(), untilUs: Number.POSITIVE_INFINITY }));
+  const hits = nodes.map(({ node }): Hit => ({ node, fromUs: monotonicNow(), untilUs: Number.POSITIVE_INFINITY }));
   world.hits.push(...hits);
   await act();
-  for (const noted of hits) noted.untilUs = steadyNow();
+  for (const noted of hits) noted.untilUs = monotonicNow();
 };
 
 const restarted = (
@@ -35,7 +35,7 @@
   whileDown: () => void = () => undefined,
 ): Promise<void> =>
   hit(world, nodes, async () => {
-    const downUs = 300_000 + wholeBelow(world.chance, 1_500_000);
+    const downUs = 300_000 + randomBelow(world.chance, 1_500_000);
     await Promise.all(nodes.map((node) => node.kill()));
     whileDown();
     await world.pause(downUs);
@@ -51,7 +51,7 @@
   if (node === undefined) return;
   await hit(world, [node], async () => {
     node.freeze();
-    await world.pause(second + wholeBelow(world.chance, 4 * second));
+    await world.pause(second + randomBelow(world.chance, 4 * second));
     node.wake();
   });
 };
@@ -113,7 +113,7 @@
       act: (world) =>
         powerLost(
           world,
-          [oneOf(world.chance, world.fleet.controls)].flatMap((node) => node ?? []),
+          [randomItem(world.chance, world.fleet.controls)].flatMap((node) => node ?? []),
         ),
     },
     { name: 'all core machines lose power', act: (world) => powerLost(world, world.fleet.controls) },
@@ -140,7 +140,7 @@
     {
       name: 'a server crashes and another comes',
       act: async (world) => {
-        const server = oneOf(world.chance, world.servers());
+        const server = randomItem(world.chance, world.servers());
         if (server === undefined) return;
         await Promise.all([world.crashServer(server), world.openServer(server.service)]);
       },
@@ -148,7 +148,7 @@
     {
       name: 'a server leaves and another comes',
       act: async (world) => {
-        const server = oneOf(
+        const server = randomItem(
           world.chance,
           world.servers().filter((known) => !known.isDraining()),
         );
@@ -164,7 +164,9 @@
       name: 'servers misbehave',
       act: (world) => {
         for (const server of world.servers())
-          server.misbehave(...Array.from({ length: misdeedsOfOne }, () => oneOf(world.chance, misdeeds) ?? 'reset'));
+          server.misbehave(
+            ...Array.from({ length: misdeedsOfOne }, () => randomItem(world.chance, misdeeds) ?? 'reset'),
+          );
         return Promise.resolve();
       },
     },
--- a/tests/platform/soak/soak-world.ts
+++ b/tests/platform/soak/soak-world.ts
@@ -1,8 +1,8 @@
-import { oneOf, wholeBelow, type Chance } from '../../../src/common/chance.js';
-import { every } from '../../../src/common/clock/every.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../../src/common/micros.js';
+import { randomItem, randomBelow, type RandomSource } from '../../../src/common/random.js';
+import { callEvery } from '../../../src/common/clock/every.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../../src/common/micros.js';
 import { archiveEngine } from '../../emulator/site-figures.js';
 import { buildProgram } from '../stand-in/bundled-program.js';
 import { launchFleet, type Fleet } from '../stand-in/launch-fleet.js';
@@ -28,7 +28,7 @@
 
 /** All that troubles may reach: processes, servers, operators. */
 export type SoakWorld = {
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly fleet: Fleet;
   readonly operator: SoakOperator;
   readonly seen: Seen;
@@ -74,7 +74,7 @@
 const routes = ['resumed', 'stream', 'idem', 'once'] as const;
 
 /** Opens the whole platform on loopback: three processes of each role, servers, list, operator and clients. */
-export const openSoakWorld = async (chance: Chance): Promise<SoakWorld> => {
+export const openSoakWorld = async (chance: RandomSource): Promise<SoakWorld> => {
   const seen = openSeen();
   const program = await buildProgram();
   const fleet = await launchFleet(program.main);
@@ -91,7 +91,7 @@
   let serverCount = 0;
   let asked = 0;
   let endTraffic = (): void => undefined;
-  const pause = (span: Micros): Promise<void> => paused(steadyClock, span);
+  const pause = (span: Micros): Promise<void> => delay(monotonicClock, span);
 
   const show = (shown: readonly PlatformServer[]): void => {
     servers = shown;
@@ -122,10 +122,10 @@
   for (const service of ['readers', 'readers', 'readers', 'readers', 'gallery', 'gallery', 'office', 'office'])
     await openServer(service);
   const readiness = openReadiness(fleet.routers);
-  const pipelined = openPipelinedClients(seen, chance, () => oneOf(chance, readiness.ready()));
-  const slowReaders = openSlowReaders(seen, chance, () => oneOf(chance, readiness.ready()));
+  const pipelined = openPipelinedClients(seen, chance, () => randomItem(chance, readiness.ready()));
+  const slowReaders = openSlowReaders(seen, chance, () => randomItem(chance, readiness.ready()));
   const mostResidentBytes = new Map<string, number>();
-  const endMemoryLooks = every(steadyClock, memoryLookUs, () => {
+  const endMemoryLooks = callEvery(monotonicClock, memoryLookUs, () => {
     for (const { launched } of [...fleet.controls, ...fleet.routers])
       mostResidentBytes.set(
         launched.node,
@@ -135,14 +135,14 @@
   const clients = openClients(seen, (tried) => {
     const ready = readiness.ready();
     const fresh = ready.filter((node) => !tried.includes(node));
-    return oneOf(chance, fresh) ?? oneOf(chance, ready);
+    return randomItem(chance, fresh) ?? randomItem(chance, ready);
   });
 
   const wantedOf = (route: (typeof routes)[number]): Wanted => {
     asked += 1;
     const { host, prefix } = places[route];
     const isStream = route === 'resumed' || route === 'stream';
-    const isRude = route === 'resumed' && wholeBelow(chance, 100) < rudePercent;
+    const isRude = route === 'resumed' && randomBelow(chance, 100) < rudePercent;
     return {
       route,
       kind: route,
@@ -162,7 +162,7 @@
   };
 
   const sendLargeBodies = async (): Promise<void> => {
-    const node = oneOf(chance, readiness.ready());
+    const node = randomItem(chance, readiness.ready());
     const callers = openClients(seen, () => node, largeBodies);
     const wanted = Array.from({ length: largeBodies }, () => wantedOf('idem'));
     await Promise.all(
@@ -172,7 +172,7 @@
   };
 
   const askOne = (route: (typeof routes)[number]): void => {
-    const sentUs = steadyNow();
+    const sentUs = monotonicNow();
     const running = clients.ask(wantedOf(route)).then((end) => {
       requests.push({ sentUs, route, end });
       underWay.delete(running);
@@ -201,14 +201,14 @@
     retireServer: async (server) => {
       server.drain();
       show(servers);
-      leaves.push({ server: server.id, shownUs: steadyNow() + lagUs });
+      leaves.push({ server: server.id, shownUs: monotonicNow() + lagUs });
       await pause(lagUs + serverEndsUs);
       await server.crash();
       show(without(server));
     },
     pause,
     startTraffic: () => {
-      endTraffic = every(steadyClock, requestSpanUs, () => routes.forEach(askOne));
+      endTraffic = callEvery(monotonicClock, requestSpanUs, () => routes.forEach(askOne));
       pipelined.start();
       slowReaders.start();
     },
--- a/tests/platform/stand-in/drive.ts
+++ b/tests/platform/stand-in/drive.ts
@@ -1,4 +1,4 @@
-import { steadyNow, toMillis } from '../../../src/common/micros.js';
+import { monotonicNow, toMillis } from '../../../src/common/micros.js';
 
 /** Plays a machine on virtual time in real time: wakes it when something falls due. */
 export const drive = <Event, Effect>(
@@ -6,16 +6,16 @@
   timeAt: (at: number) => Event,
   tell: (effect: Effect) => void,
 ): { readonly take: (make: (at: number) => Event) => void; readonly close: () => void } => {
-  const bornUs = steadyNow();
+  const bornUs = monotonicNow();
   let timer: NodeJS.Timeout | undefined;
   let isClosed = false;
   const take = (make: (at: number) => Event): void => {
     if (isClosed) return;
-    const { effects, dueUs } = step(make(steadyNow() - bornUs));
+    const { effects, dueUs } = step(make(monotonicNow() - bornUs));
     effects.forEach(tell);
     clearTimeout(timer);
     if (dueUs !== undefined)
-      timer = setTimeout(() => take(timeAt), toMillis(Math.max(0, dueUs - (steadyNow() - bornUs))));
+      timer = setTimeout(() => take(timeAt), toMillis(Math.max(0, dueUs - (monotonicNow() - bornUs))));
   };
   return {
     take,
--- a/tests/platform/stand-in/open-clients.ts
+++ b/tests/platform/stand-in/open-clients.ts
@@ -1,8 +1,8 @@
 import { randomBytes } from 'node:crypto';
 import { Agent, Client, type Dispatcher } from 'undici';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyNow, toMillis } from '../../../src/common/micros.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicNow, toMillis } from '../../../src/common/micros.js';
 import { messageOf } from '../../../src/common/typed-error.js';
 import { standInTenant } from './documents.js';
 import type { ClientTry, Seen } from './seen.js';
@@ -77,7 +77,7 @@
       body,
       lastEventId,
       events: isStream ? Math.ceil(writeTokens / stride) : 0,
-      sentUs: steadyNow(),
+      sentUs: monotonicNow(),
     };
     let status = 0;
     let seal: string | undefined;
@@ -86,7 +86,7 @@
     const ended = (whole: boolean, error?: string): readonly [ClientTry, number] => {
       const made: ClientTry = {
         ...base,
-        endUs: steadyNow(),
+        endUs: monotonicNow(),
         status,
         seal,
         bytes: Buffer.concat(chunks).toString('latin1'),
@@ -96,7 +96,7 @@
       seen.tries.push(made);
       return [made, retryUs];
     };
-    const leftUs = Math.max(1_000, dueUs - steadyNow());
+    const leftUs = Math.max(1_000, dueUs - monotonicNow());
     try {
       const answered = await dispatcher.request({
         origin: `http://${node}`,
@@ -134,10 +134,10 @@
 
   return {
     ask: async (wanted: Wanted): Promise<ClientEnd> => {
-      const dueUs = steadyNow() + wanted.budgetUs;
+      const dueUs = monotonicNow() + wanted.budgetUs;
       const tries: ClientTry[] = [];
       let events = '';
-      while (tries.length < wanted.mostTries && steadyNow() < dueUs) {
+      while (tries.length < wanted.mostTries && monotonicNow() < dueUs) {
         const node = pick(tries.map((made) => made.node));
         if (node === undefined) break;
         const fresh =
@@ -155,7 +155,7 @@
         if (endings.has(made.status)) break;
         if ((wanted.kind === 'once' || wanted.kind === 'stream') && !(made.whole && ownPromises.has(made.status)))
           break;
-        await paused(steadyClock, Math.min(retryUs || 50_000, (dueUs - steadyNow()) / 3));
+        await delay(monotonicClock, Math.min(retryUs || 50_000, (dueUs - monotonicNow()) / 3));
       }
       return { isServed: false, events, tries };
     },
--- a/tests/platform/stand-in/open-operator.ts
+++ b/tests/platform/stand-in/open-operator.ts
@@ -1,7 +1,7 @@
 import { request } from 'undici';
-import { paused } from '../../../src/common/clock/paused.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow } from '../../../src/common/micros.js';
+import { delay } from '../../../src/common/clock/delay.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow } from '../../../src/common/micros.js';
 
 const firstPauseUs = 100_000;
 const mostRedirects = 2;
@@ -45,14 +45,14 @@
     expected: number | undefined,
     budgetUs: number,
   ) => {
-    const dueUs = steadyNow() + budgetUs;
+    const dueUs = monotonicNow() + budgetUs;
     let pauseUs = firstPauseUs;
     let told = await call(method, body, expected);
     while (
-      steadyNow() < dueUs &&
+      monotonicNow() < dueUs &&
       (told.status === 0 || told.status >= 500 || told.status === 404 || told.status === 408 || told.status === 429)
     ) {
-      await paused(steadyClock, pauseUs);
+      await delay(monotonicClock, pauseUs);
       pauseUs *= 1.5;
       told = await call(method, body, expected);
     }
--- a/tests/platform/stand-in/open-platform-server.ts
+++ b/tests/platform/stand-in/open-platform-server.ts
@@ -2,8 +2,8 @@
 import type { Socket } from 'node:net';
 import { buffer } from 'node:stream/consumers';
 import { parsePromptPrefix } from '../../../platform/client/parse-prompt-prefix.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
-import { steadyNow, type Micros } from '../../../src/common/micros.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
+import { monotonicNow, type Micros } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
 import type { Misdeed, SpoiledAnswer } from './misdeed.js';
 import type { Seen, ServerArrival } from './seen.js';
@@ -170,7 +170,7 @@
     const misdeed = misdeeds.shift();
     if (misdeed === 'slow-refusal') {
       arrival.broken = true;
-      steadyClock.after(slowRefusalUs, () => turnAway(response, 503, arrival.attempt));
+      monotonicClock.after(slowRefusalUs, () => turnAway(response, 503, arrival.attempt));
       return;
     }
     response.once('close', () => desk.cancel(arrival.attempt));
@@ -241,7 +241,7 @@
       body,
       lastEventId: textOf(message, 'last-event-id'),
       headers: message.headers,
-      atUs: steadyNow(),
+      atUs: monotonicNow(),
       ran: false,
       broken: spoiled.has(message.socket),
     };
--- a/tests/platform/stand-in/open-provider.ts
+++ b/tests/platform/stand-in/open-provider.ts
@@ -1,5 +1,5 @@
 import { createServer } from 'node:http';
-import { steadyNow, toMillis } from '../../../src/common/micros.js';
+import { monotonicNow, toMillis } from '../../../src/common/micros.js';
 import { addressParts } from '../../../src/spread/link/address-parts.js';
 import type { PlatformServer } from './open-platform-server.js';
 
@@ -58,7 +58,7 @@
   const timers = new Set<NodeJS.Timeout>();
   const server = createServer((message, response) => {
     calls += 1;
-    callTimes = [...callTimes.filter((atUs) => atUs > steadyNow() - 1_000_000), steadyNow()];
+    callTimes = [...callTimes.filter((atUs) => atUs > monotonicNow() - 1_000_000), monotonicNow()];
     if (callTimes.length > mostCallsASecond) {
       overRate += 1;
       response.writeHead(429).end();
--- a/tests/platform/stand-in/open-readiness.ts
+++ b/tests/platform/stand-in/open-readiness.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
-import { every } from '../../../src/common/clock/every.js';
-import { steadyClock } from '../../../src/common/clock/steady-clock.js';
+import { callEvery } from '../../../src/common/clock/every.js';
+import { monotonicClock } from '../../../src/common/clock/monotonic-clock.js';
 
 /** Whose `readyz` says 200; a node is out after two misses and in again at its next 200. */
 export type Readiness = {
@@ -25,6 +25,6 @@
   };
   return {
     ready: () => nodes.flatMap(({ edge }) => ((misses.get(edge) ?? 2) < 2 ? [edge] : [])),
-    close: every(steadyClock, spanUs, () => nodes.forEach((node) => void probe(node))),
+    close: callEvery(monotonicClock, spanUs, () => nodes.forEach((node) => void probe(node))),
   };
 };
