--- a/tests/platform/unconfirmed.test.ts
+++ b/tests/platform/unconfirmed.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { setupOfDocument } from '../../platform/operator/setup-of-document.js';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
 import { typedError } from '../../src/common/typed-error.js';
 import type { CoreClient } from '../../src/process/core-client.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
@@ -53,7 +53,7 @@
     assert.match(await statusOf(edge, '/never/x'), promise);
     reach();
     for (let look = 0; look < 400 && edge.node.unreadyReason() === 'no setup is confirmed by the core yet'; look += 1)
-      await paused(steadyClock, 10_000);
+      await delay(monotonicClock, 10_000);
     assert.match(await statusOf(edge, '/never/x'), /^HTTP\/1.1 404 /);
   } finally {
     edge.close();
--- a/tests/platform/unexpected-exception.test.ts
+++ b/tests/platform/unexpected-exception.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Micros } from '../../src/common/micros.js';
-import { steadyNow } from '../../src/common/micros.js';
+import { monotonicNow } from '../../src/common/micros.js';
 import { rawListed } from './raw/raw-listed.js';
 import { openRawServer, type RawServer } from './raw/raw-server.js';
 import { answersWith, askSlowly, wholeBodyOf } from './raw/slow-caller.js';
@@ -36,11 +36,11 @@
     assert.ok(await answersWith(edge, 'small', 'small'), fleet.logs());
     const answers = Array.from({ length: requests }, (_, place) => askSlowly(edge, `slow${place}`, `slow${place}`, 0));
     await seen(() => arrived === requests);
-    const thrownUs = steadyNow();
+    const thrownUs = monotonicNow();
     launched.reload();
     for (const answer of await Promise.all(answers)) assert.is(wholeBodyOf(answer), 'slow');
     assert.is(await launched.ended(), 1);
-    assert.ok(steadyNow() - thrownUs < lingerUs);
+    assert.ok(monotonicNow() - thrownUs < lingerUs);
     assert.match(fleet.logs(), /"what":"unexpected exception"[^\n]*an unexpected fault[^\n]*"inFlight":/);
   } finally {
     await fleet.close();
--- a/tests/platform/whole-path.test.ts
+++ b/tests/platform/whole-path.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { every } from '../../src/common/clock/every.js';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { oneOf, seededChance } from '../../src/common/chance.js';
-import { steadyNow } from '../../src/common/micros.js';
+import { callEvery } from '../../src/common/clock/every.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { randomItem, seededRandom } from '../../src/common/random.js';
+import { monotonicNow } from '../../src/common/micros.js';
 import { archiveEngine } from '../emulator/site-figures.js';
 import { allowedOf, firstDocument, places, secondDocument } from './stand-in/documents.js';
 import { judge } from './stand-in/judge.js';
@@ -23,15 +23,15 @@
 const lagUs = 300_000;
 
 const until = async (what: string, isSo: () => boolean | Promise<boolean>, budgetUs: number): Promise<void> => {
-  const dueUs = steadyNow() + budgetUs;
+  const dueUs = monotonicNow() + budgetUs;
   while (!(await isSo())) {
-    if (steadyNow() > dueUs) throw new Error(`not within ${budgetUs / 1_000} ms: ${what}`);
-    await paused(steadyClock, 50_000);
+    if (monotonicNow() > dueUs) throw new Error(`not within ${budgetUs / 1_000} ms: ${what}`);
+    await delay(monotonicClock, 50_000);
   }
 };
 
 test('real processes found, take a configuration, serve all kinds, and lose nothing in planned work', async () => {
-  const chance = seededChance(7);
+  const chance = seededRandom(7);
   const seen = openSeen();
   const fleet = await launchFleet();
   const provider = openProvider({ address: fleet.providerAddress, lagUs, pageSize: 4, mostCallsASecond: 40 });
@@ -65,10 +65,10 @@
   const clients = openClients(seen, (tried) => {
     const ready = readiness.ready();
     return (
-      oneOf(
+      randomItem(
         chance,
         ready.filter((node) => !tried.includes(node)),
-      ) ?? oneOf(chance, ready)
+      ) ?? randomItem(chance, ready)
     );
   });
   const operator = openOperator(fleet.controls.map(({ ctl }) => ctl));
@@ -107,7 +107,7 @@
     assert.is(first.status, 200, first.text);
     await until('all routers are ready', () => readiness.ready().length === 3, 8_000_000);
 
-    endTraffic = every(steadyClock, 50_000, () => {
+    endTraffic = callEvery(monotonicClock, 50_000, () => {
       ends.push(
         clients.ask(wantedOf('resumed', 'resumed')),
         clients.ask(wantedOf('stream', 'stream')),
@@ -115,17 +115,17 @@
         clients.ask(wantedOf('once', 'once')),
       );
     });
-    await paused(steadyClock, 700_000);
+    await delay(monotonicClock, 700_000);
 
     models[0]?.misbehave('reset', 'reset', 'surplus');
     webs[0]?.misbehave('surplus');
 
-    const crashUs = steadyNow();
+    const crashUs = monotonicNow();
     await webs[1]?.crash();
     const stale = await operator.put(secondDocument, 2);
     assert.is(stale.status, 412, stale.text);
     const second = await operator.put(secondDocument, 3);
-    const takenUs = steadyNow();
+    const takenUs = monotonicNow();
     assert.is(second.status, 200, second.text);
     await Promise.all(
       fleet.routers.map(async ({ edge }) => {
@@ -138,8 +138,8 @@
         await straight.close();
       }),
     );
-    await until('two seconds are over', () => steadyNow() > takenUs + 2_000_000, 3_000_000);
-    const appliedUs = steadyNow();
+    await until('two seconds are over', () => monotonicNow() > takenUs + 2_000_000, 3_000_000);
+    const appliedUs = monotonicNow();
 
     const [leaving] = models;
     assert.ok(leaving !== undefined);
@@ -148,7 +148,7 @@
     const joined = await open('i-m3', 'readers', 'model', 0);
     const reused = await open('i-o2', 'office', 'web', 0, webs[1]?.address);
     show([...servers.filter((server) => server !== webs[1]), joined, reused]);
-    const shownUs = steadyNow() + lagUs;
+    const shownUs = monotonicNow() + lagUs;
 
     const [stopped] = fleet.routers;
     assert.ok(stopped !== undefined);
@@ -158,7 +158,7 @@
       () => seen.arrivals.some((arrival) => arrival.server === joined.id),
       6_000_000,
     );
-    await until('the leaving server is quiet', () => steadyNow() > shownUs + quiesceUs + 500_000, 5_000_000);
+    await until('the leaving server is quiet', () => monotonicNow() > shownUs + quiesceUs + 500_000, 5_000_000);
     assert.is(await ended, 0);
     endTraffic();
     const all = await Promise.all(ends);
--- a/tests/router/edge.test.ts
+++ b/tests/router/edge.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { httpText } from '../../src/cli/http-call.js';
+import { fetchText } from '../../src/cli/http-client.js';
 import { readJournal } from '../../src/router/explain/saved-journal.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import { pieceText, writeWorkText } from '../../src/rehearsal/stand-in/work-text.js';
@@ -91,7 +91,7 @@
 edge('the journal of a node can be fetched and parsed', async (context) => {
   const loopback = loopbackOf(context);
   const response = await loopback.send({ kind: 'question', opening: 'o', text: textOf('j1', 2) });
-  const text = (await httpText(loopback.http, '/journal').run()).unsafeCoerce();
+  const text = (await fetchText(loopback.http, '/journal').run()).unsafeCoerce();
   const traces = readJournal(text).unsafeCoerce();
   assert.ok(traces.some((trace) => trace.exchange === response.headers['x-exchange-id'] && trace.steps.length > 1));
 });
--- a/tests/router/event-loop-stall.ts
+++ b/tests/router/event-loop-stall.ts
@@ -1,5 +1,5 @@
 import { createServer } from 'node:net';
-import { steadyNow, type Micros } from '../../src/common/micros.js';
+import { monotonicNow, type Micros } from '../../src/common/micros.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 
 export const stallUs: Micros = 900_000;
@@ -12,8 +12,8 @@
   new Promise((resolve) => {
     setImmediate(() => {
       const begun = begin();
-      const dueUs = steadyNow() + stallUs;
-      while (steadyNow() < dueUs);
+      const dueUs = monotonicNow() + stallUs;
+      while (monotonicNow() < dueUs);
       resolve({ begun });
     });
   });
--- a/tests/router/loopback.ts
+++ b/tests/router/loopback.ts
@@ -12,7 +12,7 @@
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import { openStandInServer, usualFigures } from '../../src/rehearsal/stand-in/open-server.js';
 import type { StandInServer } from '../../src/rehearsal/stand-in/stand-in-server.js';
-import { steadyNow } from '../../src/common/micros.js';
+import { monotonicNow } from '../../src/common/micros.js';
 import { sampleSetup } from '../../src/sim/sample-setup.js';
 import type { ListedServer } from '../../src/servers/list/listed-server.js';
 
@@ -108,7 +108,7 @@
   let version = 0;
   const show = (servers: readonly ListedServer[]): void => {
     version += 1;
-    node.spread.offerList({ version, atUs: steadyNow() + version, servers });
+    node.spread.offerList({ version, atUs: monotonicNow() + version, servers });
   };
   const open = (listed: ListedServer, type: 'model' | 'web'): Promise<StandInServer> =>
     openStandInServer(listed, type, history, figures);
--- a/tests/servers/open-link.test.ts
+++ b/tests/servers/open-link.test.ts
@@ -1,8 +1,8 @@
 import type { Socket } from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { paused } from '../../src/common/clock/paused.js';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
+import { delay } from '../../src/common/clock/delay.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
 import type { Micros } from '../../src/common/micros.js';
 import { openServerLink } from '../../src/servers/link/open-link.js';
 import type { DeliveryRequest } from '../../src/servers/link/delivery-request.js';
@@ -43,7 +43,7 @@
     let text = '';
     for (let next = await receipt.body.next(); next.done !== true; next = await receipt.body.next()) {
       text += next.value;
-      if (pauseUs > 0) await paused(steadyClock, pauseUs);
+      if (pauseUs > 0) await delay(monotonicClock, pauseUs);
     }
     return text;
   } catch {
--- a/tests/servers/polling-group.ts
+++ b/tests/servers/polling-group.ts
@@ -1,5 +1,5 @@
 import { Left, Right } from 'purify-ts';
-import { paused } from '../../src/common/clock/paused.js';
+import { delay } from '../../src/common/clock/delay.js';
 import { typedError } from '../../src/common/typed-error.js';
 import { openCounters, type Counters } from '../../src/process/counters.js';
 import { openPollerTask, type PollerTask } from '../../src/process/poller-task.js';
@@ -66,7 +66,7 @@
         if (platform.rejectsPolls) return Left(typedError('over-rate', '429'));
         if (platform.cutOffNodes.has(name)) return Left(typedError('unreachable', 'cut off'));
         const { servers, whole } = platform;
-        await paused(instance.clock, responseDelayUs);
+        await delay(instance.clock, responseDelayUs);
         return Right({ servers, whole });
       },
     };
--- a/tests/sim/wake-ups.test.ts
+++ b/tests/sim/wake-ups.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { every, untilNextMultiple } from '../../src/common/clock/every.js';
+import { callEvery, untilNextMultiple } from '../../src/common/clock/every.js';
 import { openSimNode } from '../../src/sim/process/sim-node.js';
 import { openSimFleet } from '../../src/sim/fleet/sim-fleet.js';
 import { openWorld } from '../../src/sim/world/world.js';
@@ -12,9 +12,9 @@
   const world = openWorld(3);
   const life = openSimNode(world).begin();
   const moments: number[][] = [[], []];
-  every(life.clock, 100_000, () => void moments[0]?.push(world.now()));
+  callEvery(life.clock, 100_000, () => void moments[0]?.push(world.now()));
   await world.playUntil(33_000);
-  every(life.clock, 100_000, () => void moments[1]?.push(world.now()));
+  callEvery(life.clock, 100_000, () => void moments[1]?.push(world.now()));
   await world.playUntil(1_000_000);
   const [first = [], second = []] = moments;
   assert.ok(second.length >= 9);
--- a/tests/spread/cluster.ts
+++ b/tests/spread/cluster.ts
@@ -1,5 +1,5 @@
 import { calculateObjectSize } from 'bson';
-import { seededChance } from '../../src/common/chance.js';
+import { seededRandom } from '../../src/common/random.js';
 import type { Micros } from '../../src/common/micros.js';
 import type { GossipEvent, GossipFrame } from '../../src/spread/machine/gossip-event.js';
 import { hashOf } from '../../src/spread/machine/random.js';
@@ -62,7 +62,7 @@
   lossShare = 0,
   frameCostUs,
 }: ClusterOptions) => {
-  const chance = seededChance(seed);
+  const chance = seededRandom(seed);
   const actsBySlot = new Map<number, (() => void)[]>();
   let atUs = 0;
   const slotUs = 500;
--- a/tests/spread/configuration-delta.test.ts
+++ b/tests/spread/configuration-delta.test.ts
@@ -4,7 +4,7 @@
 import type { Rule } from '../../src/setup/document/rule.js';
 import type { SetupRecord } from '../../src/setup/document/setup-record.js';
 import { isRecordDelta } from '../../src/setup/check/setup-guard.js';
-import { recordDeltaOf, withRecordDelta } from '../../src/setup/delta/record-delta.js';
+import { recordDeltaOf, applyRecordDelta } from '../../src/setup/delta/record-delta.js';
 import { recordDigestOf } from '../../src/setup/delta/record-digest.js';
 import { isFrame } from '../../src/spread/frame/frame-guard.js';
 import type { GossipFrame } from '../../src/spread/machine/gossip-event.js';
@@ -194,7 +194,7 @@
 
 test('routes, services and epochs that a delta does not change keep their object identity', () => {
   const base = recordAt(1);
-  const next = withRecordDelta(base, recordDeltaOf(base, recordAt(2)));
+  const next = applyRecordDelta(base, recordDeltaOf(base, recordAt(2)));
   const unchanged = next?.setup.rules.filter((rule, index) => rule === base.setup.rules[index]).length;
   assert.is(unchanged, base.setup.rules.length - 1);
   assert.is(next?.setup.services, base.setup.services);
@@ -207,7 +207,7 @@
   assert.not.ok(isRecordDelta({ ...delta, rules: [{ type: 'keep', from: -1, count: 2 }] }));
   assert.not.ok(isRecordDelta({ ...delta, rules: [{ type: 'insert', items: [{ kind: 'x' }] }] }));
   assert.not.ok(isRecordDelta({ ...delta, digest: undefined }));
-  assert.is(withRecordDelta(recordAt(1), { ...delta, rules: [{ type: 'keep', from: 0, count: 9_999 }] }), undefined);
+  assert.is(applyRecordDelta(recordAt(1), { ...delta, rules: [{ type: 'keep', from: 0, count: 9_999 }] }), undefined);
 });
 
 test.run();
--- a/tests/spread/link-lives.test.ts
+++ b/tests/spread/link-lives.test.ts
@@ -1,8 +1,8 @@
 import { createConnection, createServer, type Socket } from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { within } from '../../src/common/clock/within.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { raceTimeout } from '../../src/common/clock/race-timeout.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import type { Frame } from '../../src/spread/frame/frame.js';
 import type { LinkIdentity } from '../../src/spread/link/link-identity.js';
@@ -25,7 +25,7 @@
 const workOf = (tokens: number): Frame => ({ type: 'work', server: 's', service: 'm', tokens });
 
 const withTimeout = async <T>(work: Promise<T>): Promise<T> => {
-  const done = await within(steadyClock, work, timeoutUs);
+  const done = await raceTimeout(monotonicClock, work, timeoutUs);
   if (done === undefined) throw new Error('the expected event did not occur in time');
   return done;
 };
--- a/tests/spread/restarted-partner.test.ts
+++ b/tests/spread/restarted-partner.test.ts
@@ -1,8 +1,8 @@
 import { createConnection } from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { steadyClock } from '../../src/common/clock/steady-clock.js';
-import { within } from '../../src/common/clock/within.js';
+import { monotonicClock } from '../../src/common/clock/monotonic-clock.js';
+import { raceTimeout } from '../../src/common/clock/race-timeout.js';
 import { freePorts } from '../../src/rehearsal/launcher/free-ports.js';
 import type { Frame } from '../../src/spread/frame/frame.js';
 import type { PeerLinks } from '../../src/spread/link/peer-links.js';
@@ -21,8 +21,8 @@
   });
 
 const nextFrame = ({ events }: PeerLinks): Promise<Frame | undefined> =>
-  within(
-    steadyClock,
+  raceTimeout(
+    monotonicClock,
     new Promise<Frame>((resolve) => events.once('frame', (_from, frame) => resolve(frame))),
     timeoutUs,
   );
