--- a/src/process/router/admission.ts
+++ b/src/process/router/admission.ts
@@ -193,7 +193,7 @@
     const hold = await spendQuota(access, rule, body.tokens, client);
     if (hold === undefined) return;
     if (rule.repeatable || idempotencyKey === undefined) {
-      router.accept({ rule, body, client: client, apiKey, access, quota: hold, claimed: undefined });
+      router.accept({ rule, body, client, apiKey, access, quota: hold, claimed: undefined });
       return;
     }
     if (router.inFlight() >= setup.pressure.slots) {
@@ -207,7 +207,7 @@
       router.accept({
         rule,
         body,
-        client: client,
+        client,
         apiKey,
         access,
         quota: hold,
@@ -235,7 +235,7 @@
         budgetUs: exchange.budgetUs,
       },
       opaque: exchange,
-      client: client,
+      client,
       apiKey: exchange.apiKey,
       access,
       quota: hold,
--- a/src/process/router/router-node.ts
+++ b/src/process/router/router-node.ts
@@ -115,7 +115,7 @@
     return isConfirmed && router.view().list !== undefined ? undefined : 'not-ready';
   };
   const quota = openQuotaTask({ node: settings.node, spread, clock, counters });
-  const admission = openAdmission({ router, spread, core, gate, quota, counters, closedReason: closedReason });
+  const admission = openAdmission({ router, spread, core, gate, quota, counters, closedReason });
 
   /** Reads the configuration from the core until one read succeeds; the node is not ready before. */
   const confirm = async (): Promise<void> => {
--- a/src/process/router/router-task.ts
+++ b/src/process/router/router-task.ts
@@ -442,7 +442,7 @@
     line: string,
     signal: AbortSignal,
   ): Promise<boolean> => {
-    const { client: client, stream, exchange, rule } = continuation;
+    const { client, stream, exchange, rule } = continuation;
     if (signal.aborted || client.isGone()) return false;
     stream.pieces += 1;
     stream.dueUs = Number.POSITIVE_INFINITY;
@@ -519,7 +519,7 @@
     events: journal.events,
     inFlight: slab.size,
     nextExchangeId: nextExchangeId,
-    accept: ({ rule: matchedRule, body, opaque, client: client, apiKey, access, quota, claimed }) => {
+    accept: ({ rule: matchedRule, body, opaque, client, apiKey, access, quota, claimed }) => {
       const tier = access.type === 'tenant' ? access.tenant.tier : undefined;
       const service =
         matchedRule.split === undefined
