--- a/src/process/core-client.ts
+++ b/src/process/core-client.ts
@@ -8,35 +8,41 @@
 import type { GossipTask } from './gossip-task.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
-/** Asks the core, wherever its leader is. Every request may be put twice: the log knows it again. */
+/** Sends requests to the leader of the core. A request may be sent more than once: the log recognises duplicates. */
 export type CoreClient = {
+  /**
+   * Retries until a final reply or the end of the budget. Then the error is `undecided` if a proposal may still be committed, else
+   * `unreachable`. A proposal that the core has no room for fails at once with `state-full`, unless an earlier attempt may
+   * still be committed.
+   */
   readonly ask: (request: CoreRequest, budgetUs: Micros) => Promise<Either<TypedError, CoreReply>>;
 };
 
-/** How long one machine is waited for before the next one is tried; calls of short budgets try two at least. */
-const tryUs: Micros = 600_000;
+/** The time-out of an attempt at one control node. It is shorter for a short budget, so that it allows two attempts at least. */
+const attemptTimeoutUs: Micros = 600_000;
 const shortBudgetUs: Micros = 800_000;
-const shortTryUs: Micros = 350_000;
+const shortTimeoutUs: Micros = 350_000;
 
 type PendingRequest = {
   readonly address: string;
   readonly onReply: (reply: CoreReply) => void;
 };
 
+/** The pause between two attempts, unless the reply named the leader. */
 const pauseUs: Micros = 40_000;
 
-const tryBudgetOf = (budgetUs: Micros): Micros => (budgetUs > shortBudgetUs ? tryUs : shortTryUs);
+const attemptTimeoutOf = (budgetUs: Micros): Micros => (budgetUs > shortBudgetUs ? attemptTimeoutUs : shortTimeoutUs);
 
-const isLast = (reply: CoreReply): boolean => reply.type === 'applied' || reply.type === 'record';
+const isFinal = (reply: CoreReply): boolean => reply.type === 'applied' || reply.type === 'record';
 
 export const openCoreClient = (
   spread: GossipTask,
   { clock, freshName }: Pick<Surroundings, 'clock' | 'freshName'>,
 ): CoreClient => {
-  /** The replies that are waited for, by request id; each one only from the address that was asked. */
+  /** By request ID. A reply is accepted only from the address that its request was sent to. */
   const pending = new Map<string, PendingRequest>();
   let leaderAddress: string | undefined;
-  let turn = 0;
+  let candidateIndex = 0;
   spread.events.on('reply', (from, { requestId, reply }) => {
     const request = pending.get(requestId);
     if (request?.address === from) request.onReply(reply);
@@ -46,58 +52,62 @@
     if (leaderAddress !== undefined) return leaderAddress;
     const coreAddresses = [...spread.view().partners.values()]
       .map(({ partner }) => partner)
-      .filter((partner) => partner.role === 'control')
-      .map((partner) => partner.address);
+      .filter((peer) => peer.role === 'control')
+      .map((peer) => peer.address);
     const candidates = coreAddresses.length > 0 ? coreAddresses : spread.view().seeds;
-    turn += 1;
-    return candidates[turn % candidates.length];
+    candidateIndex += 1;
+    return candidates[candidateIndex % candidates.length];
   };
 
   return {
     ask: async (request, budgetUs) => {
-      const dueUs = clock.now() + budgetUs;
-      const tryBudgetUs = tryBudgetOf(budgetUs);
+      const deadlineUs = clock.now() + budgetUs;
+      const timeoutUs = attemptTimeoutOf(budgetUs);
       const requestIds: string[] = [];
-      let mayStand = false;
-      let hearLast: (reply: CoreReply) => void = () => undefined;
-      /** A last word counts whichever try it answers, and however late within the budget. */
-      const lastWord = new Promise<CoreReply>((resolve) => {
-        hearLast = resolve;
+      /** Whether a control node may have appended the request to its log. */
+      let mayBeCommitted = false;
+      let resolveFinalReply: (reply: CoreReply) => void = () => undefined;
+      /** A final reply to any attempt counts, also after the time-out of that attempt. */
+      const finalReply = new Promise<CoreReply>((resolve) => {
+        resolveFinalReply = resolve;
       });
-      const askAt = (address: string): Promise<CoreReply> =>
+      const requestAt = (address: string): Promise<CoreReply> =>
         new Promise((resolve) => {
           const requestId = freshName();
           requestIds.push(requestId);
           const handleReply = (reply: CoreReply): void => {
             pending.delete(requestId);
-            if (isLast(reply)) {
+            if (isFinal(reply)) {
               leaderAddress = address;
-              hearLast(reply);
+              resolveFinalReply(reply);
             } else resolve(reply);
           };
           pending.set(requestId, { address, onReply: handleReply });
           spread.send(address, { type: 'request', requestId, request });
         });
       try {
-        for (let leftUs = budgetUs; leftUs > 0; leftUs = dueUs - clock.now()) {
+        for (let leftUs = budgetUs; leftUs > 0; leftUs = deadlineUs - clock.now()) {
           const address = targetAddress();
           const reply =
             address === undefined
               ? undefined
-              : await raceTimeout(clock, Promise.race([lastWord, askAt(address)]), Math.min(tryBudgetUs, leftUs));
-          if (reply !== undefined && isLast(reply)) return Right(reply);
-          if (reply?.type === 'state-full' && !mayStand)
-            return Left(typedError('state-full', 'the state of the core has no room for what was proposed'));
-          if (address !== undefined && reply?.type !== 'not-leader') mayStand = true;
+              : await raceTimeout(clock, Promise.race([finalReply, requestAt(address)]), Math.min(timeoutUs, leftUs));
+          if (reply !== undefined && isFinal(reply)) return Right(reply);
+          if (reply?.type === 'state-full' && !mayBeCommitted)
+            return Left(typedError('state-full', 'the replicated state of the core has no room for the proposal'));
+          if (address !== undefined && reply?.type !== 'not-leader') mayBeCommitted = true;
           leaderAddress = reply?.type === 'not-leader' && reply.leader !== address ? reply.leader : undefined;
           if (leaderAddress !== undefined) continue;
-          const lateReply = await Promise.race([lastWord, delay(clock, pauseUs)]);
+          const lateReply = await Promise.race([finalReply, delay(clock, pauseUs)]);
           if (lateReply !== undefined) return Right(lateReply);
         }
         return Left(
-          mayStand && request.type === 'propose'
-            ? typedError('undecided', 'the core gave no last word in time; the proposal may yet be taken')
-            : typedError('unreachable', 'no leader of the core was reached in time'),
+          mayBeCommitted && request.type === 'propose'
+            ? typedError(
+                'undecided',
+                'the core gave no final reply within the budget; the proposal may still be committed',
+              )
+            : typedError('unreachable', 'no leader of the core replied within the budget'),
         );
       } finally {
         for (const requestId of requestIds) pending.delete(requestId);
--- a/src/process/counters.ts
+++ b/src/process/counters.ts
@@ -1,6 +1,7 @@
-/** Named counts of a process, read at /counters. */
+/** The metrics of a process, served at /counters. */
 export type Counters = {
   readonly count: (name: string, by?: number) => void;
+  /** Registers a gauge, whose value is computed by `read` each time the metrics are read. */
   readonly gauge: (name: string, read: () => number) => void;
   readonly read: () => Readonly<Record<string, number>>;
 };
--- a/src/process/failure-report.ts
+++ b/src/process/failure-report.ts
@@ -4,14 +4,14 @@
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
 
-/** Tells in the log what has failed since it last did, so that a failed request can be explained afterwards. */
+/** Logs periodically which failure counters have grown, so that a failed request can be explained afterwards. */
 export type FailureReport = {
-  /** Tells what is left to tell, and ends. */
+  /** Logs the failures since the last report and ends. */
   readonly close: () => void;
 };
 
-/** Counters whose growth is a failure of a request, a call or a connection, or a broken promise. */
-const failureCounters = [
+/** Prefixes of the counters that count failed requests, calls and connections, and broken guarantees. */
+const failureCounterPrefixes = [
   'refused.',
   'unknown.',
   'exchanges.abandoned',
@@ -28,43 +28,43 @@
   'exceptions.',
 ] as const;
 
-/** At most one line in so long, and none while nothing fails. */
+/** At most one line is logged per interval, and none while nothing fails. */
 export const reportIntervalUs: Micros = 5_000_000;
 
-const isFailure = (name: string): boolean => failureCounters.some((prefix) => name.startsWith(prefix));
+const isFailure = (name: string): boolean => failureCounterPrefixes.some((prefix) => name.startsWith(prefix));
 
 type Counts = ReadonlyMap<string, number>;
 
 const failuresIn = (counters: Counters): Counts =>
   new Map(Object.entries(counters.read()).filter(([name]) => isFailure(name)));
 
-const growthOf = (former: Counts, present: Counts): Readonly<Record<string, number>> =>
+const growthOf = (previous: Counts, current: Counts): Readonly<Record<string, number>> =>
   Object.fromEntries(
-    [...present].flatMap(([name, count]) => {
-      const growth = count - (former.get(name) ?? 0);
+    [...current].flatMap(([name, count]) => {
+      const growth = count - (previous.get(name) ?? 0);
       return growth > 0 ? [[name, growth] as const] : [];
     }),
   );
 
-/** Opens the report; `state` tells what the process knew and did when it is asked. */
+/** Starts the report; each line also contains the fields that `state` returns. */
 export const openFailureReport = (
   clock: Clock,
   log: Log,
   counters: Counters,
   state: () => Readonly<Record<string, unknown>>,
 ): FailureReport => {
-  let told = failuresIn(counters);
-  const tell = (): void => {
-    const present = failuresIn(counters);
-    const failures = growthOf(told, present);
-    told = present;
+  let reported = failuresIn(counters);
+  const report = (): void => {
+    const current = failuresIn(counters);
+    const failures = growthOf(reported, current);
+    reported = current;
     if (Object.keys(failures).length > 0) log.change('failures', { failures, ...state() });
   };
-  const endReports = callEvery(clock, reportIntervalUs, tell);
+  const endReports = callEvery(clock, reportIntervalUs, report);
   return {
     close: () => {
       endReports();
-      tell();
+      report();
     },
   };
 };
--- a/src/process/gossip-task-events.ts
+++ b/src/process/gossip-task-events.ts
@@ -3,14 +3,15 @@
 import type { SetupRecord } from '../setup/document/setup-record.js';
 import type { Frame } from '../spread/frame/frame.js';
 
-/** What the spread task tells the other tasks of its process. */
+/** The events of the gossip task, for the other tasks of the process. */
 export type GossipTaskEvents = {
   readonly setup: [record: SetupRecord];
   readonly list: [list: ServerList];
-  /** A partner told of a whole reading of the platform's list. */
+  /** A peer has reported a complete reading of the platform's server list. */
   readonly read: [by: string, ageUs: Micros];
+  /** The lower bound of the platform's time has risen. */
   readonly time: [platformUs: Micros];
-  /** How many routers may share what the fleet allows. */
+  /** How many routers share the limits of the fleet, including those declared dead and not yet forgotten. */
   readonly routers: [routers: number];
   readonly refreshed: [];
   readonly control: [from: string, frame: Extract<Frame, { readonly type: 'control' }>];
--- a/src/process/gossip-task.ts
+++ b/src/process/gossip-task.ts
@@ -18,32 +18,33 @@
 import type { GossipTaskEvents } from './gossip-task-events.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
-/** The task that owns the partner links and what is spread over them. */
+/** Owns the links to the peers and the state that is gossiped over them: membership, setup, server list and platform time. */
 export type GossipTask = {
   readonly events: EventEmitter<GossipTaskEvents>;
   readonly view: () => GossipView;
-  /** The platform's time as far as it is certain; 0 while none is known. */
+  /** A lower bound of the platform's time; 0 while none is known. */
   readonly platformUs: () => Micros;
   readonly start: () => Promise<void>;
+  /** Adopts and gossips a setup if it is newer than the known one. */
   readonly offerSetup: (record: SetupRecord) => void;
   readonly offerList: (list: ServerList) => void;
-  /** Takes a reading of the platform's list that was asked for at a moment of the steady clock. */
+  /** Merges a reading of the platform's server list; `begunAt` is the monotonic time at which the poll began. */
   readonly offerReading: (reading: ListReading, begunAt: Micros) => void;
   readonly refresh: () => void;
-  /** Takes other seeds, as its settings now name them. */
+  /** Replaces the seeds after a change of the settings. */
   readonly reseed: (seeds: readonly string[]) => void;
   readonly send: (address: string, frame: Frame) => void;
   readonly close: () => void;
 };
 
-/** The beat of a fleet of few is a whole number of these. */
+/** The heartbeat interval of a small fleet is a multiple of this. */
 const tickUs: Micros = 100_000;
-/** More partners than this are counted in the log, and not named. */
-const mostNamed = 16;
-/** Their count is logged at most once in so long. */
-const partnersToldSpanUs: Micros = 1_000_000;
+/** With more peers than this, the log contains their number instead of their names. */
+const maxNamedPeers = 16;
+/** The number of peers is logged at most once per interval. */
+const peerLogIntervalUs: Micros = 1_000_000;
 
-const counterOf: Readonly<Record<DropCause, string>> = {
+const dropCounters: Readonly<Record<DropCause, string>> = {
   'other-life': 'frames.otherLife',
   'other-fleet': 'frames.otherFleet',
 };
@@ -59,24 +60,24 @@
   const links = openPartnerLinks(self.address, options);
   const events = new EventEmitter<GossipTaskEvents>();
   let view = initialGossipView(self, seeds);
-  let endTicks = (): void => undefined;
-  let partnersToldUs = Number.NEGATIVE_INFINITY;
+  let stopTicks = (): void => undefined;
+  let peersLoggedUs = Number.NEGATIVE_INFINITY;
   const foreignAddresses = new Set<string>();
 
-  /** Many partners become known one by one when a large fleet begins; their count is logged once in a while. */
-  const tellPartners = (): void => {
+  /** Rate-limited for many peers, since they become known one by one when a large fleet starts. */
+  const logPeers = (): void => {
     const { size } = view.partners;
-    if (size <= mostNamed) {
-      log.change('partners known', { nodes: [...view.partners.values()].map(({ partner }) => partner.node).sort() });
+    if (size <= maxNamedPeers) {
+      log.change('peers known', { nodes: [...view.partners.values()].map(({ partner }) => partner.node).sort() });
       return;
     }
     const nowUs = clock.now();
-    if (nowUs < partnersToldUs + partnersToldSpanUs) return;
-    partnersToldUs = nowUs;
-    log.change('partners known', { count: size });
+    if (nowUs < peersLoggedUs + peerLogIntervalUs) return;
+    peersLoggedUs = nowUs;
+    log.change('peers known', { count: size });
   };
 
-  const carryOut = (effect: GossipEffect): void => {
+  const runEffect = (effect: GossipEffect): void => {
     switch (effect.type) {
       case 'send':
         links.send(effect.address, effect.frame);
@@ -96,7 +97,7 @@
         events.emit('time', effect.platformUs);
         return;
       case 'partners':
-        tellPartners();
+        logPeers();
         return;
       case 'routers':
         events.emit('routers', effect.routers + effect.lost);
@@ -110,18 +111,18 @@
     }
   };
 
-  /** Counts each frame that was not taken; the log names each sender of another fleet once. */
+  /** Counts each dropped frame, and logs each sender of another fleet once. */
   const countDropped = (cause: DropCause, from: string): void => {
-    counters.count(counterOf[cause]);
-    if (cause !== 'other-fleet' || foreignAddresses.has(from) || foreignAddresses.size >= mostNamed) return;
+    counters.count(dropCounters[cause]);
+    if (cause !== 'other-fleet' || foreignAddresses.has(from) || foreignAddresses.size >= maxNamedPeers) return;
     foreignAddresses.add(from);
-    log.change('another fleet was heard', { address: from });
+    log.change('dropped a frame of another fleet', { address: from });
   };
 
-  const take = (event: GossipEvent): void => {
+  const handle = (event: GossipEvent): void => {
     const step = stepGossip(view, event);
     view = step.view;
-    step.effects.forEach(carryOut);
+    step.effects.forEach(runEffect);
   };
 
   counters.gauge('list.version', () => view.list?.version ?? 0);
@@ -158,7 +159,7 @@
       case 'setup':
       case 'setup-delta':
       case 'list':
-        take({ type: 'frame', at: clock.now(), from, frame });
+        handle({ type: 'frame', at: clock.now(), from, frame });
     }
   });
 
@@ -172,16 +173,16 @@
     },
     start: async () => {
       await links.listen();
-      endTicks = callEvery(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
+      stopTicks = callEvery(clock, tickUs, () => handle({ type: 'tick', at: clock.now() }));
     },
-    offerSetup: (record) => take({ type: 'setup', at: clock.now(), record }),
-    offerList: (list) => take({ type: 'list', at: clock.now(), list }),
-    reseed: (newSeeds) => take({ type: 'seeds', at: clock.now(), seeds: newSeeds }),
-    offerReading: (reading, begunAt) => take({ type: 'reading', at: clock.now(), begunAt, reading }),
-    refresh: () => take({ type: 'refresh', at: clock.now() }),
+    offerSetup: (record) => handle({ type: 'setup', at: clock.now(), record }),
+    offerList: (list) => handle({ type: 'list', at: clock.now(), list }),
+    reseed: (newSeeds) => handle({ type: 'seeds', at: clock.now(), seeds: newSeeds }),
+    offerReading: (reading, begunAt) => handle({ type: 'reading', at: clock.now(), begunAt, reading }),
+    refresh: () => handle({ type: 'refresh', at: clock.now() }),
     send: (address, frame) => links.send(address, frame),
     close: () => {
-      endTicks();
+      stopTicks();
       links.close();
     },
   };
--- a/src/process/log.ts
+++ b/src/process/log.ts
@@ -1,6 +1,6 @@
 import { Logger } from 'tslog';
 
-/** The log of a process: a line only for a change of state. */
+/** The structured log of a process. Only changes of state are logged, not single requests. */
 export type Log = {
   readonly change: (what: string, facts: Readonly<Record<string, unknown>>) => void;
 };
--- a/src/process/loop-delay.ts
+++ b/src/process/loop-delay.ts
@@ -4,29 +4,29 @@
 import type { Micros } from '../common/micros.js';
 import type { Counters } from './counters.js';
 
-/** Tells for how long the event loop of the process was held, so that a pause can be told afterwards. */
+/** Measures by how much a periodic timer is late, so that a blocked event loop can be recognised afterwards. */
 export type LoopDelay = {
-  /** The longest delay since this was last asked. */
+  /** The longest delay since the previous call. */
   readonly takeLongestUs: () => Micros;
   readonly close: () => void;
 };
 
-/** How often it is looked; shorter delays between two looks may be missed. */
+/** The sampling interval; delays that fall between two samples may be missed. */
 export const loopSampleIntervalUs: Micros = 100_000;
-/** What the histogram can hold: it takes no zero, and longer delays count as the longest one. */
-const leastUs: Micros = 1;
-const mostUs: Micros = 600_000_000;
+/** The range of the histogram: it accepts no zero, and a longer delay counts as the maximum. */
+const minDelayUs: Micros = 1;
+const maxDelayUs: Micros = 600_000_000;
 const significantDigits = 2;
 
-/** Counts the delays of the looks as `loop.delayUs.*`, from the start of the process. */
+/** Starts sampling; the gauges `loop.delayUs.*` cover all samples since then. */
 export const openLoopDelay = (clock: Clock, counters: Counters): LoopDelay => {
-  const histogram = createHistogram({ lowest: leastUs, highest: mostUs, figures: significantDigits });
-  let lookedUs = clock.now();
+  const histogram = createHistogram({ lowest: minDelayUs, highest: maxDelayUs, figures: significantDigits });
+  let sampledUs = clock.now();
   let longestUs: Micros = 0;
-  const endLooks = callEvery(clock, loopSampleIntervalUs, () => {
+  const stopSampling = callEvery(clock, loopSampleIntervalUs, () => {
     const nowUs = clock.now();
-    const delayUs = Math.min(mostUs, Math.max(leastUs, nowUs - lookedUs - loopSampleIntervalUs));
-    lookedUs = nowUs;
+    const delayUs = Math.min(maxDelayUs, Math.max(minDelayUs, nowUs - sampledUs - loopSampleIntervalUs));
+    sampledUs = nowUs;
     longestUs = Math.max(longestUs, delayUs);
     histogram.record(delayUs);
   });
@@ -35,10 +35,10 @@
   counters.gauge('loop.delayUs.max', () => histogram.max);
   return {
     takeLongestUs: () => {
-      const takenUs = longestUs;
+      const previousLongestUs = longestUs;
       longestUs = 0;
-      return takenUs;
+      return previousLongestUs;
     },
-    close: endLooks,
+    close: stopSampling,
   };
 };
--- a/src/process/mailbox.ts
+++ b/src/process/mailbox.ts
@@ -1,18 +1,19 @@
 import PQueue from 'p-queue';
 
-/** The way into a task: events are taken in order, those that wait are taken together. */
+/** The input queue of a task: events are handled in order, one batch at a time; a batch is all events that wait. */
 export type Mailbox<Event> = {
   readonly post: (event: Event) => void;
+  /** Resolves once all posted events are handled. */
   readonly idle: () => Promise<void>;
 };
 
-export const openMailbox = <Event>(take: (events: readonly Event[]) => Promise<void>): Mailbox<Event> => {
+export const openMailbox = <Event>(handle: (events: readonly Event[]) => Promise<void>): Mailbox<Event> => {
   const queue = new PQueue({ concurrency: 1 });
   let waitingEvents: Event[] = [];
   const drain = async (): Promise<void> => {
-    const takenEvents = waitingEvents;
+    const batch = waitingEvents;
     waitingEvents = [];
-    await take(takenEvents);
+    await handle(batch);
   };
   return {
     post: (event) => {
--- a/src/process/poller-task.ts
+++ b/src/process/poller-task.ts
@@ -12,16 +12,16 @@
 import type { GossipTask } from './gossip-task.js';
 import type { Surroundings } from './surroundings/surroundings.js';
 
-/** The task that asks the platform for its list when it is this node's turn. */
+/** Polls the platform's server list while this node is the poller of the fleet. */
 export type PollerTask = {
   readonly start: () => void;
   readonly close: () => void;
 };
 
 const tickUs: Micros = 100_000;
-const readBudgetUs: Micros = 1_000_000;
+const readTimeoutUs: Micros = 1_000_000;
 
-/** Without a source in the surroundings the list is told, and the task does nothing. */
+/** Without a list source the platform pushes the list, and the task does nothing. */
 export const openPollerTask = (
   role: PeerRole,
   node: string,
@@ -33,52 +33,52 @@
   if (listSource === undefined) return { start: () => undefined, close: () => undefined };
   let view = initialPollerView(role, node, clock.now());
   let isClosed = false;
-  let endTicks = (): void => undefined;
+  let stopTicks = (): void => undefined;
 
-  const take = (event: PollerEvent): void => {
+  const handle = (event: PollerEvent): void => {
     const step = stepPoller(view, event);
     if (step.view.isPoller !== view.isPoller)
-      log.change(step.view.isPoller ? 'asks for the list' : 'asks for the list no more', {});
+      log.change(step.view.isPoller ? 'became poller of the server list' : 'no longer poller of the server list', {});
     view = step.view;
-    if (step.effects.length > 0) void ask();
+    if (step.effects.length > 0) void poll();
   };
 
   const read = async (): Promise<Either<TypedError, ListReading>> => {
     try {
-      const reading = await raceTimeout(clock, listSource.read(), readBudgetUs);
-      return reading ?? Left(typedError('unreachable', 'the platform did not answer in time'));
+      const reading = await raceTimeout(clock, listSource.read(), readTimeoutUs);
+      return reading ?? Left(typedError('unreachable', 'the platform did not respond within the time-out'));
     } catch (thrown) {
       return Left(typedError('unreachable', messageOf(thrown)));
     }
   };
 
-  const refused = (error: TypedError): void => {
+  const fail = (error: TypedError): void => {
     counters.count(`list.read.${error.type}`);
-    take({ type: 'error', at: clock.now(), error: error.type });
+    handle({ type: 'error', at: clock.now(), error: error.type });
   };
 
-  const ask = async (): Promise<void> => {
+  const poll = async (): Promise<void> => {
     const begunAt = clock.now();
     counters.count('list.reads');
-    const reading = await read();
+    const polled = await read();
     if (isClosed) return;
-    reading.ifLeft(refused).ifRight((given) => {
-      spread.offerReading(given, begunAt);
-      if (given.whole) take({ type: 'read', at: clock.now() });
-      else refused(typedError('incomplete', 'pages are missing'));
+    polled.ifLeft(fail).ifRight((reading) => {
+      spread.offerReading(reading, begunAt);
+      if (reading.whole) handle({ type: 'read', at: clock.now() });
+      else fail(typedError('incomplete', 'the reading of the server list is incomplete'));
     });
   };
 
-  spread.events.on('read', (by, ageUs) => take({ type: 'heard', at: clock.now(), by, ageUs }));
+  spread.events.on('read', (by, ageUs) => handle({ type: 'heard', at: clock.now(), by, ageUs }));
 
   return {
     start: () => {
       view = initialPollerView(role, node, clock.now());
-      endTicks = callEvery(clock, tickUs, () => take({ type: 'tick', at: clock.now() }));
+      stopTicks = callEvery(clock, tickUs, () => handle({ type: 'tick', at: clock.now() }));
     },
     close: () => {
       isClosed = true;
-      endTicks();
+      stopTicks();
     },
   };
 };
--- a/src/process/run-control.ts
+++ b/src/process/run-control.ts
@@ -10,7 +10,7 @@
 import type { ControlSettings } from './settings/control-settings.js';
 import { realSurroundings } from './surroundings/real-surroundings.js';
 
-/** Runs a core machine until it is told to stop. */
+/** Runs a control node until the process receives a stop signal. On a fatal error the process exits with status 3. */
 export const runControl = (settings: ControlSettings): EitherAsync<TypedError, void> => {
   const log = openLog(settings.node);
   const fail = (error: TypedError): void => {
--- a/src/process/run-router.ts
+++ b/src/process/run-router.ts
@@ -9,7 +9,7 @@
 import { stopOnSignalOrException } from './stop-signal.js';
 import { watchUnexpectedExceptions } from './unexpected-exceptions.js';
 
-/** Runs a router node until it is told to stop, or an unexpected exception makes it stop in order. */
+/** Runs a router until the process receives a stop signal or an unexpected exception occurs; either way it shuts down gracefully. */
 export const runRouter = (settings: NodeSettings): EitherAsync<TypedError, void> => {
   const log = openLog(settings.node);
   const node = openRouterNode({ settings, log, surroundings: realSurroundings });
--- a/src/process/serve-until-stopped.ts
+++ b/src/process/serve-until-stopped.ts
@@ -6,10 +6,10 @@
 
 type ServedNode = {
   readonly start: () => Promise<void>;
-  readonly stop: (callers: ConnectionDrain) => Promise<void>;
+  readonly stop: (clients: ConnectionDrain) => Promise<void>;
 };
 
-/** Serves a node over HTTP until it is due to stop, and ends both in order. */
+/** Serves a node over HTTP; `stopWhenDue` waits for the moment to stop and then calls its argument, which shuts both down. */
 export const serveUntilStopped = (
   http: HttpServer,
   node: ServedNode,
@@ -20,7 +20,7 @@
       await http.listen();
       await node.start();
     } catch (thrown) {
-      return throwE(typedError('bad-settings', `can not listen: ${messageOf(thrown)}`));
+      return throwE(typedError('bad-settings', `the node could not start to listen: ${messageOf(thrown)}`));
     }
     const ended = await stopWhenDue(async () => {
       await node.stop(http.callers);
@@ -29,7 +29,7 @@
     return liftEither(ended);
   });
 
-/** Serves a node over HTTP until the process is told to stop. */
+/** Serves a node over HTTP until the process receives a stop signal. */
 export const serveUntilStopSignal = (http: HttpServer, node: ServedNode): EitherAsync<TypedError, void> =>
   serveUntilStopped(http, node, async (stop) => {
     await waitForStopSignal();
--- a/src/process/stop-signal.ts
+++ b/src/process/stop-signal.ts
@@ -2,14 +2,14 @@
 import { typedError, type TypedError } from '../common/typed-error.js';
 import type { UnexpectedExceptions } from './unexpected-exceptions.js';
 
-/** Waits until the process is told to stop. */
+/** Resolves when the process receives SIGTERM or SIGINT. */
 export const waitForStopSignal = (): Promise<void> =>
   new Promise((resolve) => {
     process.once('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
   });
 
-/** Waits until the process is told to stop or an unexpected exception came, and stops it in order either way. */
+/** Waits for a stop signal or the first unexpected exception, then stops. Returns an error if there was any exception. */
 export const stopOnSignalOrException = async (
   exceptions: UnexpectedExceptions,
   stop: () => Promise<void>,
@@ -20,5 +20,5 @@
   const count = exceptions.count();
   return count === 0
     ? Right(undefined)
-    : Left(typedError('unexpected-exception', `the process stopped after ${count} unexpected exceptions`));
+    : Left(typedError('unexpected-exception', `the process shut down after ${count} unexpected exceptions`));
 };
--- a/src/process/unexpected-exceptions.ts
+++ b/src/process/unexpected-exceptions.ts
@@ -1,23 +1,23 @@
 import type { Counters } from './counters.js';
 import type { Log } from './log.js';
 
-/** Exceptions that come out of an event, and rejected promises that nobody waits for. */
+/** Exceptions that no handler has caught, and unhandled rejections of promises. */
 export type UnexpectedExceptions = {
-  /** Comes with the first one. */
+  /** Resolves at the first exception. */
   readonly first: Promise<void>;
   readonly count: () => number;
   readonly close: () => void;
 };
 
-/** An exception that comes again and again does not fill the log. */
-const mostLines = 10;
+/** Keeps a recurring exception from flooding the log. */
+const maxLogLines = 10;
 
 const stackOf = (thrown: unknown): string =>
   thrown instanceof Error ? (thrown.stack ?? thrown.message) : String(thrown);
 
 /**
- * Counts and logs each unexpected exception, with its stack and the state of the process, and keeps Node from ending the process
- * at once. Whoever opens it must stop the process in order at the first one: what the exception left undone is not known.
+ * Counts each unexpected exception, logs it with its stack and the state of the process, and prevents Node from exiting at once. The
+ * user must shut the process down gracefully at the first one, since an unknown part of the work is left undone.
  */
 export const watchUnexpectedExceptions = (
   log: Log,
@@ -25,16 +25,16 @@
   state: () => Readonly<Record<string, unknown>>,
 ): UnexpectedExceptions => {
   let count = 0;
-  let tellFirst = (): void => undefined;
+  let resolveFirst = (): void => undefined;
   const first = new Promise<void>((resolve) => {
-    tellFirst = resolve;
+    resolveFirst = resolve;
   });
-  const take = (thrown: unknown, origin: string): void => {
+  const handle = (thrown: unknown, origin: string): void => {
     count += 1;
     counters.count('exceptions.unexpected');
-    if (count <= mostLines) log.change('unexpected exception', { origin, stack: stackOf(thrown), ...state() });
-    tellFirst();
+    if (count <= maxLogLines) log.change('unexpected exception', { origin, stack: stackOf(thrown), ...state() });
+    resolveFirst();
   };
-  process.on('uncaughtException', take);
-  return { first, count: () => count, close: () => void process.off('uncaughtException', take) };
+  process.on('uncaughtException', handle);
+  return { first, count: () => count, close: () => void process.off('uncaughtException', handle) };
 };
